--- a/cactusford/batches/batch.h
+++ b/cactusford/batches/batch.h
@@ -1,4 +1,5 @@
-// Batches of items for a trainer, and their results. Values only.
+// Value types for batches of items that a trainer submits, and for their
+// results.
 #pragma once
 
 #include "cactusford/http/message.h"
@@ -10,7 +11,7 @@
 
 namespace cactusford::batches {
 
-// The call that scores an item's text.
+// The HTTP call that scores an item's text.
 struct scorer_call
 {
   std::string id;
@@ -27,9 +28,11 @@
   std::string path;
   http::headers fields;
   std::string body;
-  // Items of a group share their prompt and count only together.
+  // Items of a group share a prompt. A trainer can use a group only when all of
+  // its items are done.
   std::string group;
-  // The caller's estimate of the tokens to come, right at the median; 0: none.
+  // The caller's estimate of the number of tokens to generate. It is accurate
+  // only at the median. 0: no estimate.
   std::uint64_t length_hint = 0;
   std::optional<scorer_call> scorer;
 
@@ -40,9 +43,9 @@
 {
   std::string model;
   std::uint64_t step = 0;
-  // The oldest weight version that may make the text.
+  // The oldest weight version that may generate the text.
   std::uint64_t min_version = 0;
-  // Whole groups that the trainer waits for.
+  // Number of complete groups that the trainer waits for.
   std::uint64_t desired_groups = 0;
   std::vector<item> items;
 
@@ -52,17 +55,17 @@
 struct item_result
 {
   std::string id;
-  // False: given up, without text.
+  // False if the item was given up; the result then has no text.
   bool done = false;
   std::string text;
-  // Weight versions that made the text.
+  // Weight versions that generated the text.
   std::vector<std::uint64_t> versions;
   std::string score;
 
   friend bool operator==(const item_result&, const item_result&) = default;
 };
 
-// What a reader gets: the results from a position onward.
+// A page of results, starting at the position that the reader asked for.
 struct result_page
 {
   std::uint64_t total = 0;
@@ -72,26 +75,27 @@
   friend bool operator==(const result_page&, const result_page&) = default;
 };
 
-// What the store holds of a batch under `batches/ID`: small, as every entry
-// follows this kind. The submission stands in parts of its own and is read by
-// those alone who run the batch or are asked for a body. The specification is
-// written once, after all parts; the status changes with the owner and at the
-// end.
+// The object stored under `batches/ID`. It is small, because every entry
+// watches this kind. The submission is stored separately in parts, which are
+// read only by the owner of the batch or to return an item's body. The spec is
+// written once, after all parts; the status changes when the owner changes and
+// when the batch ends.
 struct stored_batch
 {
   std::string id;
   std::uint64_t revision = 0;
   std::string host;
   std::string target;
-  // Whose it is; empty: of a public route, or none are declared.
+  // The workspace that the batch belongs to. Empty if the route is public or no
+  // workspaces are declared.
   std::string workspace;
   std::uint64_t accepted_wall_ms = 0;
-  // How many items it has, and in how many parts its submission stands.
+  // Number of items, and number of parts in which the submission is stored.
   std::uint64_t items = 0;
   std::uint64_t parts = 0;
   std::string owner;
   std::string owner_address;
-  // The owner's share of a core.
+  // The owner's CPU share, in cores.
   double owner_capacity = 0;
   bool ended = false;
 
--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -6,11 +6,12 @@
 
 namespace {
 
-// Owners tell several times a second; one that is silent for longer has ended,
-// or is cut off from us.
+// Owners report several times a second. If no report has arrived for longer
+// than this, the owner has stopped or is unreachable.
 constexpr std::uint64_t word_age_limit_ms = 800;
 
-// A larger message is another writer's mistake.
+// Upper limit for the number of engines in a report. A larger message is
+// malformed.
 constexpr std::size_t most_engines = 20000;
 
 } // namespace
--- a/cactusford/batches/engine_use.h
+++ b/cactusford/batches/engine_use.h
@@ -1,10 +1,12 @@
-// Runs that other instances have at the engines, by their own word. Pure.
+// Tracks how many runs other instances have on each engine, from their own
+// reports. Pure.
 //
-// Pattern: owners of four trainers begin their steps at the same moment, on
-// engines that each of them knows only from the answers to its own runs. What
-// it hears is old after a second, and an engine that says nothing counts as
-// empty: one engine in three had more runs than places, while others had places
-// free. So owners tell each other what they have running, some times a second.
+// Owners of several trainers start their steps at the same moment, on the same
+// engines. Each owner knows an engine's load only from the responses to its own
+// runs, which is out of date after a second, and an engine that has sent no
+// response counts as empty. Without these reports, one engine in three had more
+// runs than slots while others had free slots. Owners therefore report their
+// running items to each other several times a second.
 #pragma once
 
 #include "cactusford/store/fields.h"
@@ -17,7 +19,7 @@
 
 namespace cactusford::batches {
 
-// Runs by engine.
+// Number of runs by engine id.
 using engine_runs = std::map<std::string, std::uint32_t>;
 
 struct told_use
@@ -34,7 +36,7 @@
 store::decoded<told_use>
 told_use_from(const nlohmann::json& j);
 
-// What is known of the others.
+// The latest reports of the other instances.
 struct use_of_others
 {
   struct heard
@@ -52,7 +54,7 @@
 void
 note(use_of_others& u, told_use t, std::uint64_t now_ms);
 
-// All that was told lately, by engine.
+// Returns the number of runs by engine, summed over all recent reports.
 engine_runs
 sum(const use_of_others& u, std::uint64_t now_ms);
 
--- a/cactusford/batches/event_reader.h
+++ b/cactusford/batches/event_reader.h
@@ -1,5 +1,5 @@
-// Reads the events of a stream (text/event-stream) from bytes that may end
-// anywhere, and joins them to the text of an item. Pure.
+// Parses a stream of events (text/event-stream) from chunks of bytes with
+// arbitrary boundaries, and appends the events to the text of an item. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,8 @@
 {
   std::uint64_t id = 0;
   std::string data;
-  // The weight version from this event on, where the event names one.
+  // The weight version that applies from this event on, if the event carries
+  // one.
   std::optional<std::uint64_t> version;
 
   friend bool operator==(const stream_event&, const stream_event&) = default;
@@ -23,16 +24,17 @@
 class event_reader
 {
 public:
-  // `version_line` is the key of the line that names a weight version.
+  // `version_line` is the name of the event field that carries a weight
+  // version.
   explicit event_reader(std::string version_line);
 
-  // The events that these bytes complete.
+  // Returns the events completed by these bytes.
   std::vector<stream_event> feed(std::string_view bytes);
 
-  // Bytes of an event that was not completed are left.
+  // True if the buffer holds the beginning of an incomplete event.
   bool has_partial() const { return !rest_.empty(); }
 
-  // An event without an id or with a malformed line was read.
+  // True if an event without an id or with a malformed line was read.
   bool is_malformed() const { return malformed_; }
 
 private:
@@ -43,20 +45,22 @@
   bool malformed_ = false;
 };
 
-// The text of an item, as far as it is known.
+// The text of an item received so far.
 struct item_text
 {
   std::uint64_t last_event = 0;
   std::uint64_t events = 0;
   std::string text;
-  // The version that the run now has, and all that made an event.
+  // The current weight version of the run, and all versions that have produced
+  // an event.
   std::uint64_t version = 0;
   std::vector<std::uint64_t> versions;
 
   friend bool operator==(const item_text&, const item_text&) = default;
 };
 
-// False when the event does not follow the last one: it is not taken in.
+// Appends the event to the text. Returns false, and leaves the text unchanged,
+// if the event does not directly follow the last one.
 bool
 append(item_text& t, const stream_event& e);
 
--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -9,24 +9,25 @@
 
 namespace {
 
-// How often runs, owners and writes are looked at, in milliseconds.
+// Interval of the periodic check of runs, owners and writes, in milliseconds.
 constexpr std::uint64_t tick_ms = 100;
 
-// An owner that has not answered for this long is taken to be gone: four
-// questions without an answer. A takeover by mistake costs double runs only.
+// An owner that has not answered for this long, which is four probes, is
+// presumed dead. A mistaken takeover costs only duplicate runs.
 constexpr std::uint64_t owner_silence_ms = 1300;
 
-// One that refuses connections has ended; it may be back at once, with nothing
-// in its memory.
+// An owner that refuses connections has crashed. It may restart at once, but
+// then has lost its in-memory state.
 constexpr std::uint64_t owner_refused_ms = 500;
 
-// A takeover is a write: whoever begins one has heard from the store within
-// this time. Watches bring an answer each second. While the store is away for
-// all, the owner's memory is the best there is.
+// A takeover requires a write to the store, so an instance starts one only if
+// it has had an answer from the store within this time. Watches bring an answer
+// every second. While the store is unavailable to everyone, batches stay with
+// their owners, whose memory holds the most recent text.
 constexpr std::uint64_t store_answer_age_ms = 1300;
 
-// Spread of the takeovers by several instances, so that one write wins before
-// the others are tried.
+// Takeovers by several instances are spread over this time, so that the first
+// write succeeds before the others are attempted.
 constexpr std::uint64_t takeover_spread_ms = 300;
 
 } // namespace
@@ -91,7 +92,7 @@
   return b;
 }
 
-// An instance that owns batches may make calls to the store for this one.
+// An instance that owns batches may relay this instance's calls to the store.
 void
 keeper::impl::note_owner(const batch_state& b)
 {
@@ -101,8 +102,9 @@
   }
 }
 
-// Begins what the store says is ours. One that is being accepted begins when
-// its write has been answered: then it is known that nothing is listed.
+// Starts running the batch if the store lists this instance as its owner. A
+// batch that is still being accepted starts when its write is acknowledged,
+// because only then is it known to have no listed results.
 void
 keeper::impl::own_ours(batch_state& b, bool is_fresh)
 {
@@ -112,7 +114,8 @@
   }
 }
 
-// The route in force; it stays as it is while the pointer is held.
+// Returns the matching route of the current table. The pointer keeps that table
+// alive, so the route does not change while it is held.
 std::shared_ptr<const routes::route>
 keeper::impl::route_to(const std::string& host, const std::string& path) const
 {
@@ -121,8 +124,8 @@
   return { table, route };
 }
 
-// When the results are due, on the steady clock. Clocks of instances differ,
-// so the age of a batch is bounded.
+// Returns the time when the results are due, on the steady clock. The age of
+// the batch is capped because the clocks of instances differ.
 std::uint64_t
 keeper::impl::due_of(const batch_state& b) const
 {
@@ -165,7 +168,8 @@
   }
 }
 
-// The batch has ended. Its texts may serve a later batch.
+// Stops the work on a batch that has ended. Its texts may be reused in a later
+// batch.
 void
 keeper::impl::close(batch_state& b)
 {
@@ -186,8 +190,9 @@
   }
 }
 
-// Finds a batch that the watch has not shown yet. The second argument is true
-// when the store has answered.
+// Finds a batch in memory or, if the watch has not shown it yet, in the store.
+// The second argument of `done` is false if the store did not answer; only then
+// may a batch that was not found exist.
 void
 keeper::impl::lookup(const std::string& id,
                      std::function<void(batch_state*, bool)> done)
@@ -209,7 +214,8 @@
   });
 }
 
-// Why the owner is taken to be gone; nothing while it is believed to live.
+// Returns the reason to take the batch over, or nothing while its owner is
+// believed to be alive.
 std::optional<std::string_view>
 keeper::impl::owner_silence(const batch_state& b, std::uint64_t now)
 {
@@ -221,9 +227,10 @@
              : std::nullopt;
   }
   const auto& address = b.stored.owner_address;
-  // One that lives and says that it reaches no store may be cut off alone, or
-  // the store was away for all. It has the usual time to find it again from
-  // when this instance did.
+  // An owner that answers but reports that it cannot reach the store is either
+  // cut off alone or affected by an outage for everyone. Its silence is counted
+  // from when the store became reachable for this instance again, so that it
+  // gets the usual time to reconnect.
   const bool lives = now - owner_cut_off[address] <= owner_silence_ms;
   const auto seen = std::max({ owner_seen[address],
                                b.owner_since_ms,
@@ -431,7 +438,7 @@
   }
 }
 
-// An owner that reaches the store on no path can list nothing.
+// An owner that has no path to the store cannot list results.
 bool
 keeper::can_own() const
 {
--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -1,5 +1,5 @@
-// Keeps batches: accepts them into the store, runs those that this instance
-// owns, takes over those whose owner is gone, and shows results.
+// Accepts batches into the store, runs the batches that this instance owns,
+// takes over batches whose owner is gone, and returns results.
 #pragma once
 
 #include "cactusford/batches/event_reader.h"
@@ -21,13 +21,13 @@
 
 namespace cactusford::batches {
 
-// Kinds of our own in the store.
+// Kinds of objects in the store that hold batches.
 constexpr std::string_view batch_kind = "batches";
 constexpr std::string_view part_kind = "submissions";
 constexpr std::string_view chunk_kind = "results";
 constexpr std::string_view progress_kind = "texts";
 
-// Path of the calls among instances about batches and their owners.
+// Paths of the calls between instances about batches and their owners.
 constexpr std::string_view peer_results_path = "/results/";
 constexpr std::string_view peer_alive_path = "/alive";
 constexpr std::string_view peer_ended_path = "/ended/";
@@ -35,7 +35,7 @@
 constexpr std::string_view peer_passed_path = "/passed/";
 constexpr std::string_view peer_use_path = "/engine-use";
 
-// What the keeper works with; all outlive it.
+// Dependencies of the batch manager. All referenced objects must outlive it.
 struct keeper_parts
 {
   asio::io_context& io;
@@ -46,18 +46,18 @@
   edge::forwarder& forwarder;
   std::function<routes::table_ptr()> table;
   std::string instance;
-  // Where other instances reach this one.
+  // The address at which other instances reach this one.
   std::string address;
   std::string data_centre;
   // How long a batch stays readable after it was accepted.
   std::uint64_t keep_ms = 120000;
-  // This instance's share of a core.
+  // This instance's CPU share, in cores.
   double capacity = 1;
-  // The largest entries known, by falling capacity.
+  // Returns the largest known entries, in descending order of capacity.
   std::function<std::vector<membership::member>()> largest_entries = [] {
     return std::vector<membership::member>{};
   };
-  // Null: no item is kept out.
+  // Null: no item is quarantined.
   quarantine::guard* guard = nullptr;
 };
 
@@ -67,17 +67,17 @@
   explicit keeper(keeper_parts parts);
   ~keeper();
 
-  // Starts the regular checks.
+  // Starts the periodic checks.
   void start();
 
-  // A caller submits a batch for its workspace.
+  // Accepts a batch that a caller submits for its workspace.
   void accept(const http::call& caller,
               const std::string& id,
               const std::string& workspace,
               std::uint64_t give_up_ms);
 
-  // A caller reads results. A read `from_peer` is answered from what this
-  // instance owns, or not at all.
+  // Returns results to a caller. A read `from_peer` is answered only from what
+  // this instance owns; it is never forwarded or read from the store.
   void read(const http::call& caller,
             const edge::batch_request& r,
             bool from_peer);
@@ -86,29 +86,32 @@
 
   void end(const http::call& caller, const edge::batch_request& r);
 
-  // Another instance says that a batch has ended.
+  // Called when another instance reports that a batch has ended.
   void on_ended(const std::string& id);
 
-  // Another instance says that it has taken a batch over.
+  // Called when another instance reports that it has taken a batch over.
   void on_taken(const std::string& id);
 
-  // Another instance passes a submission on: this one is to accept and run it.
+  // Called when another instance forwards a submission, which this instance
+  // should accept and run.
   void on_passed(const http::call& peer, const std::string& id);
 
-  // Another instance tells what it has running at the engines.
+  // Called when another instance reports how many runs it has on each engine.
   void on_use(const http::call& peer);
 
-  // False when another instance should run what this one owns.
+  // Returns false if another instance should run the batches that this one
+  // owns.
   bool can_own() const;
 
-  // From the watch of the batches.
+  // Called by the watch of the batches.
   void on_list(std::vector<store::object>&& all);
   void on_change(store::change&& c);
 
-  // Backend servers or their versions have changed.
+  // Called when backend servers or their versions have changed.
   void on_backends();
 
-  // Gives the batches to other instances; `done` follows when all are given.
+  // Hands the owned batches over to other instances and calls `done` when all
+  // have been handed over.
   void leave(std::function<void()> done);
 
   std::size_t owned() const;
--- a/cactusford/batches/keeper_impl.h
+++ b/cactusford/batches/keeper_impl.h
@@ -1,4 +1,4 @@
-// The insides of the keeper, shared by its sources.
+// Implementation class of the batch manager, shared by its source files.
 #pragma once
 
 #include "cactusford/batches/engine_use.h"
@@ -19,29 +19,29 @@
 using detail::item_state;
 using detail::waiting_reader;
 
-// When a caller that was refused may come back: the store usually answers
-// again within a second.
+// Retry delay sent to a refused caller. The store usually answers again within
+// a second.
 constexpr std::string_view come_back_s = "0.5";
 
-// Pauses before an item or a write is tried again.
+// Delays before an item or a write is retried.
 constexpr std::uint64_t refused_pause_ms = 60;
 constexpr std::uint64_t failed_pause_ms = 100;
 
 http::response
 answer(int status, std::string body = {});
 
-// The workspace may read it, end it and ask for its bodies. To any other it is
-// not there.
+// Returns true if the workspace may read the batch, end it and get the bodies
+// of its items. For any other workspace the batch does not exist.
 bool
 is_of(const stored_batch& b, const std::string& workspace);
 
-// Refused; nothing has been done.
+// Returns a 503 response with a retry delay. Nothing has been executed.
 http::response
 come_back(const edge::dialect& d);
 
 namespace detail {
 
-// A batch on its way into the store.
+// A batch that is being written to the store.
 struct acceptance
 {
   http::call caller;
@@ -52,7 +52,8 @@
   std::uint64_t next_part = 0;
   // When the caller gives up, on the steady clock.
   std::uint64_t until_ms = 0;
-  // A write of the head had no answer: it may stand, or stand later.
+  // A write of the batch object got no answer: it may have been applied, or may
+  // still be applied later.
   bool unknown = false;
 };
 
@@ -66,11 +67,11 @@
   {
   }
 
-  // Knowledge
+  // Batches known from the store
   batch_state* known(const std::string& id);
   batch_state* learn(const store::object& o);
   void note_owner(const batch_state& b);
-  // `is_fresh`: nothing can be listed yet.
+  // `is_fresh`: the batch was just created, so no results can be listed yet.
   void own_ours(batch_state& b, bool is_fresh);
   void update(batch_state& b, stored_batch&& s);
   void close(batch_state& b);
@@ -126,7 +127,7 @@
   void note_alive(std::uint64_t now);
   void note_store(std::uint64_t now);
 
-  // What owners tell each other
+  // Engine usage reports between owners
   engine_runs own_runs() const;
   std::set<std::string> other_owners() const;
   void tell_use(std::uint64_t now);
@@ -180,7 +181,7 @@
   void reuse_carried(batch_state& b);
   void remember(batch_state& b);
 
-  // Kept text of running items
+  // Saved text of running items
   void save_progress(batch_state& b, std::function<void()> done);
   void maybe_save(batch_state& b, std::uint64_t now);
   void load_progress(const std::string& id, std::function<void()> done);
@@ -198,7 +199,7 @@
                        const edge::batch_request& r);
   void read_from_store(const http::call& caller, const edge::batch_request& r);
 
-  // Ended batches
+  // Removal of ended batches
   void remove_expired(std::uint64_t now);
   void remove_chunk(const std::string& id, std::uint64_t chunk);
   void remove_rest(const std::string& id);
@@ -211,20 +212,21 @@
   keeper_parts p;
   asio::steady_timer timer;
   std::unordered_map<std::string, std::unique_ptr<batch_state>> batches;
-  // Submissions that this instance is accepting: it need not read them back.
+  // Submissions that this instance is accepting; it does not need to read them
+  // back from the store.
   std::unordered_map<std::string, std::shared_ptr<detail::acceptance>>
     accepting;
   std::unordered_map<std::string, detail::carried_item> carried;
-  // When an owner's address last answered, on the steady clock.
+  // When the owner at an address last answered, on the steady clock.
   std::map<std::string, std::uint64_t> owner_seen;
   std::map<std::string, std::uint64_t> owner_refused;
-  // When it last said that it lives and reaches no store.
+  // When the owner last answered that it is alive but cannot reach the store.
   std::map<std::string, std::uint64_t> owner_cut_off;
   std::map<std::string, bool> owner_asked;
-  // Since when the store answers this instance; 0: it does not.
+  // Since when the store has been answering this instance; 0 while it does not.
   std::uint64_t store_there_since_ms = 0;
   std::uint64_t last_ask = 0;
-  // When this process last looked at the clock.
+  // When this process last read the clocks, to detect that it was paused.
   std::uint64_t alive_ms = 0;
   std::uint64_t alive_wall_ms = 0;
   std::uint64_t last_expiry_look = 0;
--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Besides its text, a result takes about this much on the wire.
+// Approximate size on the wire of a result without its text.
 constexpr std::size_t result_overhead = 200;
 
 std::size_t
--- a/cactusford/batches/ledger.h
+++ b/cactusford/batches/ledger.h
@@ -1,11 +1,12 @@
-// Positions of a batch's results. A result gets its position when the store
-// has acknowledged its chunk: chunk k is created once and never replaced, by
-// one who has read all chunks before it. Pure.
+// Assigns positions to the results of a batch. A result gets its position when
+// the store acknowledges the chunk that contains it. Chunk k is created once
+// and never replaced, by an owner that has read all earlier chunks. Pure.
 //
-// An owner that was paused or cut off may still write after another has taken
-// over. So a new owner begins with an empty chunk, and shows results only when
-// that stands: a late write of the old owner meets it as a conflict, and its
-// higher epoch tells the old owner to stop.
+// An owner that was paused or partitioned may still write after another
+// instance has taken over. A new owner therefore first creates an empty chunk
+// as a fence and shows results only after that write is acknowledged. A late
+// write of the old owner then conflicts with the fence, whose higher epoch
+// tells the old owner to stop.
 #pragma once
 
 #include "cactusford/batches/batch.h"
@@ -20,7 +21,8 @@
 
 struct stored_chunk
 {
-  // Revision of the batch at which its writer became the owner.
+  // Revision of the batch object at which the writer of this chunk became the
+  // owner.
   std::uint64_t epoch = 0;
   std::vector<item_result> results;
 
@@ -29,20 +31,22 @@
 
 struct ledger
 {
-  // In the store, in the order of their positions.
+  // Results that are in the store, in the order of their positions.
   std::vector<item_result> listed;
   std::uint64_t chunks = 0;
-  // Known here alone.
+  // Results that only this instance has.
   std::vector<item_result> pending;
   std::uint64_t pending_since_ms = 0;
-  // The oldest pending results that a write now carries; 0: no write.
+  // Number of the oldest pending results that the current write contains; 0 if
+  // no write is in progress.
   std::size_t writing = 0;
-  // A write of the next chunk had no answer: it may stand, or land later.
+  // A write of the next chunk got no answer: it may have been applied, or may
+  // still be applied later.
   bool unsettled = false;
   std::unordered_set<std::string> ids;
 };
 
-// False when the item has a result already.
+// Returns false if the item already has a result.
 bool
 add_result(ledger& l, item_result r, std::uint64_t now_ms);
 
@@ -52,30 +56,34 @@
 bool
 has_result(const ledger& l, const std::string& item);
 
-// The results of the next chunk, at most `max_bytes` of text and one result
-// at least. Marks them as being written.
+// Returns the results for the next chunk and marks them as being written. The
+// total size is at most `max_bytes`, unless the first result alone is larger.
 std::vector<item_result>
 begin_chunk(ledger& l, std::size_t max_bytes);
 
-// Chunk `chunks` holds these results: by our write, or by another owner's.
-// Our pending results of the same items are dropped, as theirs have the
-// position. An item listed before is left out.
+// Records that chunk number `chunks` holds these results, written by this owner
+// or by another one. Pending results of the same items are dropped, since the
+// stored ones already have a position. Items that were listed before are
+// skipped.
 void
 adopt_chunk(ledger& l, std::vector<item_result> results);
 
-// The write did not take place.
+// Records that the write was not applied.
 void
 abandon_chunk(ledger& l);
 
-// Nobody knows whether the write took place, or it still may.
+// Records that the outcome of the write is unknown; it may still be applied
+// later.
 void
 doubt_chunk(ledger& l);
 
-// No write of ours can stand that is not listed here.
+// Returns true if no write of this owner can be in the store without being
+// listed here.
 bool
 is_settled(const ledger& l);
 
-// The results from a position onward, at most `max_bytes` and at least one.
+// Returns the results from a position onward. The total size is at most
+// `max_bytes`, unless the first result alone is larger.
 result_page
 page_of(const ledger& l,
         std::uint64_t total,
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -11,16 +11,18 @@
 
 namespace {
 
-// Owners of open batches are asked this often; a step has seconds to spare,
-// and each question is one small message both ways.
+// How often the owners of open batches are probed. A step has seconds to spare,
+// and each probe is one small message in each direction.
 constexpr std::uint64_t owner_ask_ms = 300;
 constexpr std::uint64_t owner_answer_ms = 600;
 
-// A connection that fails faster was refused: no process listens there.
+// A connection attempt that fails faster than this was refused: no process
+// listens at the address.
 constexpr std::uint64_t refusal_limit_ms = 200;
 
-// Others take an owner to be gone after 1.3 s of silence. One that notices that
-// it stood still for more than half of that asks the store whether they have.
+// Other instances presume an owner dead after 1.3 s of silence. An owner that
+// notices a pause longer than about half of that asks the store whether it has
+// been replaced.
 constexpr std::uint64_t standstill_ms = 700;
 
 } // namespace
@@ -55,7 +57,7 @@
   });
 }
 
-// Reads what is listed before this instance adds to it.
+// Reads the listed results before this instance adds to them.
 void
 keeper::impl::load_tenure(const std::string& id)
 {
@@ -71,8 +73,8 @@
   });
 }
 
-// All chunks are read. Once the fence stands nobody else can add one, and
-// results may be shown.
+// Called when all chunks have been read. Creates the fence; once it is stored,
+// no previous owner can add a chunk, and results may be shown.
 void
 keeper::impl::begin_tenure(const std::string& id)
 {
@@ -104,7 +106,8 @@
   if (!b.owned) {
     return;
   }
-  // A write on its way may stand already, and others may have shown it.
+  // A write in progress may already be in the store, and other instances may
+  // have shown its results.
   b.complete = b.loaded && b.stored.ended && b.stored.owner == p.instance &&
                is_settled(b.ledger) && !b.doubted;
   b.owned = false;
@@ -168,8 +171,8 @@
                       done(false);
                       return;
                     }
-                    // Somebody's chunk stands there, or ours whose answer was
-                    // lost.
+                    // The chunk was created by another owner, or by this one in
+                    // a write whose answer was lost.
                     self->load_chunks(id, [self, id, tries, done](bool ok) {
                       if (ok) {
                         self->fence(id, tries - 1, done);
@@ -180,9 +183,9 @@
                   });
 }
 
-// Reads the chunks behind those that are known, until there is none. With none
-// known a list brings many at once; later a single one is looked for, as a list
-// would bring the chunks of other batches.
+// Reads the chunks after the known ones until there are none left. If no chunk
+// is known, a list fetches many at once. Later chunks are fetched one by one,
+// because a list would also return the chunks of other batches.
 void
 keeper::impl::load_chunks(const std::string& id, std::function<void(bool)> done)
 {
@@ -209,8 +212,8 @@
         done(false);
         return;
       }
-      // Another reader was faster and may be at it still: what this answer
-      // holds is no longer what comes next.
+      // A concurrent read has already added chunks and may still be in
+      // progress, so this answer no longer starts at the next chunk.
       if (now->ledger.chunks != first) {
         self->load_chunks(id, done);
         return;
@@ -219,8 +222,9 @@
       for (const auto& o : r.items) {
         taken += self->take_chunk(id, o) ? 1 : 0;
       }
-      // A list without further pages has shown all of ours: a look behind it
-      // would be one more call for each owner and reader.
+      // A list without further pages contains all chunks of this batch.
+      // Checking for one more would cost an additional call for each owner and
+      // reader.
       const bool listed_all = first == 0 && !absent && !r.more;
       if (taken == 0 || listed_all) {
         done(true);
@@ -230,7 +234,7 @@
     });
 }
 
-// Takes in the chunk that is next; others are passed over.
+// Adds the chunk if it is the next one; skips any other.
 bool
 keeper::impl::take_chunk(const std::string& id, const store::object& o)
 {
@@ -247,8 +251,9 @@
   return true;
 }
 
-// Changes the status on the condition that nobody changed it meanwhile; a
-// conflict shows the newer one, and the change is made again on that.
+// Updates the status on the condition that it has not changed meanwhile. After
+// a conflict, which returns the newer status, the change is applied to that one
+// and retried.
 void
 keeper::impl::write_status(const std::string& id,
                            std::function<void(stored_batch&)> change,
@@ -287,7 +292,7 @@
         self->write_status(id, change, done, tries - 1);
         return;
       }
-      // Read back what stands there.
+      // Read back the stored status.
       store::call get;
       get.op = store::operation::get;
       get.kind = batch_kind;
@@ -306,8 +311,8 @@
     });
 }
 
-// Asks the owners of open batches whether they live. Their own silence is
-// what counts: the store may be away for us alone.
+// Probes the owners of open batches. Only their own silence counts, because the
+// store may be unreachable for this instance alone.
 void
 keeper::impl::ask_owners(std::uint64_t now)
 {
@@ -351,10 +356,11 @@
   }
 }
 
-// Says to another instance what its watch may not have shown it yet, as after
-// a restart of everything on a small instance. Without it an owner would run
-// items of a batch that has ended, or show results as if it still owned one.
-// What it doesn't hear now its watch will show.
+// Notifies another instance of a change that its watch may not have shown yet,
+// such as after a restart of all processes on a small instance. Without the
+// notification an owner would keep running items of a batch that has ended, or
+// show results of a batch that it no longer owns. If the message is lost, the
+// watch eventually delivers the change.
 void
 keeper::impl::tell(const std::string& address,
                    std::string_view path,
@@ -379,9 +385,10 @@
     });
 }
 
-// Another instance may have taken the batch over, and may have listed results
-// that this one does not know. Until the store has said who owns it, readers
-// whom it could only tell that there is nothing more are sent away.
+// Called when another instance may have taken the batch over and listed results
+// that this one does not know. Until the store has confirmed the owner, readers
+// for whom this instance has no further results are asked to retry, instead of
+// being told that there are none.
 void
 keeper::impl::doubt(batch_state& b, std::string_view why)
 {
@@ -396,7 +403,7 @@
   verify(b);
 }
 
-// Asks the store who owns a batch of ours.
+// Reads the current owner of a batch from the store.
 void
 keeper::impl::verify(batch_state& b)
 {
@@ -415,7 +422,8 @@
       return;
     }
     now->verifying = false;
-    // Nothing is known yet: the next look asks again.
+    // Without an answer the owner stays unconfirmed, and the next check asks
+    // again.
     if (r.what == store::verdict::done && !r.items.empty()) {
       now->doubted = false;
       self->learn(r.items.front());
@@ -423,9 +431,10 @@
   });
 }
 
-// Doubts all batches after this process stood still for long enough to be taken
-// for gone. The steady clock does not count the time in which an instance is
-// suspended; the time of day does, and a step of that costs one question.
+// Marks all batches as unconfirmed if this process was paused for long enough
+// to be presumed dead. The steady clock does not count the time during which an
+// instance is suspended, but the wall clock does. A step of the wall clock
+// costs only one additional read.
 void
 keeper::impl::note_alive(std::uint64_t now)
 {
--- a/cactusford/batches/parts.cc
+++ b/cactusford/batches/parts.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The second to fourth byte of a character in UTF-8.
+// Returns true for the second to fourth byte of a UTF-8 sequence.
 bool
 is_continuation(char c)
 {
--- a/cactusford/batches/parts.h
+++ b/cactusford/batches/parts.h
@@ -1,5 +1,5 @@
-// The parts in which a submission stands in the store, as a value there is a
-// megabyte at most. Pure.
+// Splits a submission into the parts in which it is stored, because a value in
+// the store is limited to a megabyte. Pure.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -13,11 +13,12 @@
 
 namespace cactusford::batches {
 
-// Bytes of a submission in one part. JSON may write a byte as two.
+// Maximum size of a part in bytes. JSON may escape one byte as two.
 constexpr std::size_t part_bytes = 500U << 10;
 
-// Parts of at most `max_bytes`, none of which ends inside a character: a value
-// that is not UTF-8 would not come back as it was. At least one.
+// Splits the body into parts of at most `max_bytes`. No part ends inside a
+// UTF-8 sequence, because the store would not return invalid UTF-8 unchanged.
+// Returns at least one part.
 std::vector<std::string_view>
 split_parts(std::string_view body, std::size_t max_bytes);
 
--- a/cactusford/batches/placement.cc
+++ b/cactusford/batches/placement.cc
@@ -9,12 +9,14 @@
 
 namespace {
 
-// Owners of open batches are asked every 300 ms; one that missed two questions
-// may be gone, and a batch given to it would wait for the next takeover.
+// Owners of open batches are probed every 300 ms. An owner that missed two
+// probes may be gone, and a batch given to it would have to wait for the next
+// takeover.
 constexpr std::uint64_t seen_limit_ms = 800;
 
-// An entry of this share of the largest one's size is large enough: moving the
-// steps costs a hundred connections and the text of the items that come again.
+// An entry with at least this share of the largest entry's capacity is large
+// enough. Moving the steps costs a hundred connections and the saved text of
+// resubmitted items.
 constexpr double large_enough = 0.7;
 
 std::optional<membership::member>
@@ -29,7 +31,8 @@
   return lives ? std::optional{ newest->of } : std::nullopt;
 }
 
-// The largest that runs no other trainer's steps; the largest if all do.
+// Returns the largest entry that runs no other trainer's steps, or the largest
+// of all if every entry does.
 membership::member
 largest_free(const placement_view& v)
 {
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -42,7 +42,7 @@
       t.version = store::whole_field(j, "weight");
       return std::pair{ store::text_field(j, "item"), std::move(t) };
     });
-    // Starting an item anew costs time and breaks nothing.
+    // Skipping a damaged entry is safe: restarting its item only costs time.
     if (read) {
       p.insert(*read);
     }
--- a/cactusford/batches/progress.h
+++ b/cactusford/batches/progress.h
@@ -1,5 +1,5 @@
-// Text of items that are still running, kept in the store so that a run that
-// took seconds isn't lost with its owner. Pure.
+// Encodes the text of running items for the store, so that a run of several
+// seconds is not lost when its owner crashes. Pure.
 #pragma once
 
 #include "cactusford/batches/event_reader.h"
@@ -16,7 +16,7 @@
 nlohmann::json
 encode_progress(const progress& p);
 
-// Entries of another shape are left out: their items start anew.
+// Skips malformed entries; their items start from the beginning.
 progress
 decode_progress(const nlohmann::json& spec);
 
--- a/cactusford/batches/progress_store.cc
+++ b/cactusford/batches/progress_store.cc
@@ -8,16 +8,17 @@
 
 namespace {
 
-// Text is kept once a run has lasted about a second, and again after each
-// further second: with its owner at most that much is lost. Each write is a
-// priced call; a step with stragglers makes some six of them.
+// Text is saved once a run has lasted about a second, and every second after
+// that, so at most that much is lost with the owner. Each write is a billed
+// call; a step with stragglers makes about six of them.
 constexpr std::uint64_t save_every_ms = 1000;
 constexpr std::uint64_t least_run_ms = 900;
 
-// A value of the store is a megabyte at most.
+// A value in the store is limited to a megabyte.
 constexpr std::size_t saved_bytes = 600U << 10;
 
-// Runs that have lasted long enough, within what one value holds.
+// Collects the text of runs that have lasted long enough, as far as it fits
+// into one value.
 progress
 progress_of(const batch_state& b, std::uint64_t now, std::uint64_t least_ms)
 {
@@ -48,7 +49,7 @@
 {
   const auto now = http::now_ms();
   b.saved_ms = now;
-  // A leaving owner gives away all it has.
+  // An owner that is shutting down hands over all text that it has.
   const auto p = progress_of(b, now, leaving ? 0 : least_run_ms);
   if (p.empty()) {
     done();
@@ -65,7 +66,8 @@
     c, [self = shared_from_this(), id, done](store::reply&& r) {
       if (auto* now_known = self->known(id)) {
         now_known->saving = false;
-        // Another owner may have written it before: then it is replaced.
+        // A conflict means that a previous owner created the object; the next
+        // write replaces it.
         now_known->has_saved =
           (now_known->has_saved && r.what != store::verdict::missing) ||
           r.what == store::verdict::done || r.what == store::verdict::conflict;
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -8,30 +8,33 @@
 
 namespace {
 
-// Results gather this long before they are written, unless a group is whole:
-// single results are of no use to the trainer yet, and each write is a call.
+// Results are collected for this long before they are written, unless a group
+// is complete: single results are of no use to the trainer yet, and each write
+// is a call.
 constexpr std::uint64_t gather_ms = 1500;
 
-// A value of the store is a megabyte at most; JSON escapes and names add to
-// the text.
+// A value in the store is limited to a megabyte; JSON escapes and member names
+// add to the text.
 constexpr std::size_t chunk_bytes = 500U << 10;
 constexpr std::size_t page_bytes = 900U << 10;
 
-// A trainer reads about twice a second: results of whole groups gather this
-// long until it has as many as it waits for.
+// A trainer reads about twice a second. Results of complete groups are
+// collected for this long until the trainer has as many groups as it waits for.
 constexpr std::uint64_t whole_gather_ms = 300;
 
-// A read of results from the owner may take this long beyond its wait.
+// How much longer than its wait a read of results from the owner may take.
 constexpr std::uint64_t peer_read_ms = 400;
 
-// Between two looks of one instance for new chunks of a batch it doesn't own.
+// Minimum time between two checks by one instance for new chunks of a batch
+// that it does not own.
 constexpr std::uint64_t chunk_look_ms = 300;
 
 } // namespace
 
-// Writes when the trainer has the groups that it waits for, when nothing else
-// is to come, or when results have waited long enough. The groups before the
-// last of these don't move the step's end, so they share a write.
+// Writes the pending results if the trainer has the groups that it waits for,
+// if all items are finished, or if results have waited long enough. Groups
+// completed before the last required one do not affect when the step ends, so
+// they share a write.
 void
 keeper::impl::maybe_write(batch_state& b, std::uint64_t now)
 {
@@ -76,8 +79,8 @@
         return;
       }
       if (!now->owned) {
-        // The batch ended meanwhile; whether this chunk stands is for the
-        // store to say.
+        // The batch ended in the meantime. Only the store can tell whether this
+        // chunk was written.
         now->complete = false;
         return;
       }
@@ -92,8 +95,9 @@
     });
 }
 
-// What stands at this chunk decides. If nothing does yet, a lost write may
-// still land: the next create meets it as a conflict.
+// Reads what is stored for this chunk after a write without a clear outcome. If
+// there is nothing yet, the lost write may still be applied; the next create
+// would then get a conflict.
 void
 keeper::impl::read_back(const std::string& id, std::uint64_t chunk)
 {
@@ -157,10 +161,10 @@
   }
 }
 
-// An empty page says that nothing stands behind the reader's position. Only an
-// owner can say so, and not while a write is on its way: it may stand already,
-// and others may have read it from the store. Shown fewer results than before,
-// a trainer would take them for lost.
+// An empty page states that there are no results after the reader's position.
+// Only an owner can state that, and only if no write is in progress: the write
+// may already be in the store, and others may have read it from there. If a
+// trainer were shown fewer results than before, it would consider them lost.
 void
 keeper::impl::answer_reader(const waiting_reader& r, batch_state& b)
 {
@@ -218,13 +222,15 @@
     respond_page(caller, *b, r.after);
     return;
   }
-  // The look shows what stands when it begins, however late its answer is read.
+  // The read shows the state at the time it was started, however late its
+  // answer is processed.
   load_chunks(r.id, [self = shared_from_this(), caller, r, now](bool ok) {
     auto* found = self->known(r.id);
     if (found != nullptr && ok) {
       found->looked_ms = std::max(found->looked_ms, now);
     }
-    // Without the store nothing is known of the positions behind ours.
+    // Without an answer from the store, nothing is known about the positions
+    // after the last known result.
     if (found == nullptr || (!ok && found->ledger.listed.size() <= r.after)) {
       caller.respond(come_back(self->p.dialect));
       return;
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -8,18 +8,19 @@
 
 namespace {
 
-// How often kept batches are looked through, and how many are removed then: a
-// removal is some ten calls to the store.
+// How often ended batches are checked for expiry, and how many are removed per
+// check: each removal takes about ten calls to the store.
 constexpr std::uint64_t look_ms = 1000;
 constexpr std::size_t removals_at_once = 2;
 
-// The last owner removes a batch. If it is gone, another does, later.
+// The last owner removes a batch. If that owner is gone, another instance
+// removes the batch after this additional time.
 constexpr std::uint64_t others_wait_ms = 60000;
 
 } // namespace
 
-// Ended batches are kept for as long as callers may read them. Without this the
-// store and the memory of each entry would grow for ever.
+// Removes ended batches after the time during which callers may read them.
+// Otherwise the store and the memory of each entry would grow without limit.
 void
 keeper::impl::remove_expired(std::uint64_t now)
 {
@@ -42,9 +43,9 @@
   }
 }
 
-// Chunks go in their order, then the kept text, then the submission, then
-// the batch itself: what was cut short is found again by the batch that still
-// stands.
+// Removes the chunks in order, then the saved text, then the submission, and
+// the batch object last. An interrupted removal is resumed because the batch
+// object still exists.
 void
 keeper::impl::remove_chunk(const std::string& id, std::uint64_t chunk)
 {
--- a/cactusford/batches/schedule.cc
+++ b/cactusford/batches/schedule.cc
@@ -6,24 +6,26 @@
 
 namespace {
 
-// The estimate is right at the median only; single runs say little.
+// The estimate is accurate only at the median, so a single run has little
+// weight.
 constexpr double gain = 0.02;
 
-// Runs far off the estimate would move the pace more than all others.
+// Without these bounds, a run far off its estimate would change the pace more
+// than all others.
 constexpr double least_ratio = 0.3;
 constexpr double largest_ratio = 3;
 
-// Pauses of healthy engines stay within a few times the usual one, as prompts
-// of others are read in between.
+// On healthy engines the time between events stays within a few times the
+// typical one, because prompts of other runs are processed in between.
 constexpr double silent_pauses = 6;
 constexpr std::uint64_t least_silence_ms = 250;
 constexpr std::uint64_t longest_silence_ms = 700;
 
-// A run with less to spare is late if anything holds it up.
+// A run with less slack than this becomes late if anything delays it.
 constexpr std::int64_t no_time_to_spare_ms = 1500;
 constexpr std::int64_t urgency_step_ms = 1500;
 
-// Engines put runs that say nothing at 5.
+// Engines treat runs without an urgency as 5.
 constexpr std::uint32_t most_urgent = 1;
 constexpr std::uint32_t least_urgent = 5;
 
--- a/cactusford/batches/score_limit.cc
+++ b/cactusford/batches/score_limit.cc
@@ -9,10 +9,10 @@
 constexpr double least = 2;
 constexpr double cut = 0.67;
 
-// Refusals of one burst arrive within the time of a call or two.
+// The refusals of a burst arrive within the duration of one or two calls.
 constexpr std::uint64_t settle_ms = 200;
 
-// Of the places of a service, those that callers find free at any rate.
+// Share of a service's slots that is always left to callers.
 constexpr double kept_for_callers = 0.25;
 
 } // namespace
--- a/cactusford/batches/score_limit.h
+++ b/cactusford/batches/score_limit.h
@@ -1,15 +1,15 @@
-// How many scorer's calls an owner has under way. Pure.
+// Limits the number of scorer calls that an owner has in flight. Pure.
 //
-// Pattern: a hundred texts of a step end within half a second. Their scorer's
-// calls, of 80 ms each, share 36 places with callers whose answers are due in
-// 150 ms. Sent at once, many are refused as full and sent to one server after
-// the other, and callers are refused as well: on a day of 3,516 scored texts
-// the servers met 11,079 calls, refused 3,330, and one caller in four was
-// answered late. A text can wait for its score for some tenths of a second.
+// A hundred texts of a step are completed within half a second. Their scorer
+// calls of 80 ms each share 36 slots with callers whose answers are due in 150
+// ms. Sent all at once, many calls are refused and retried at one server after
+// the other, and callers are refused as well: in a day with 3,516 scored texts
+// the servers received 11,079 calls and refused 3,330, and one caller in four
+// was answered late. A text can wait some tenths of a second for its score.
 //
-// The limit grows by one for as many answers as it is large, and shrinks by a
-// third when a server was full: owners that share a service settle beside each
-// other, and places stay for callers.
+// The limit grows by one for every `limit` answers and shrinks by a third when
+// a server was full. Owners that share a service thus converge to a fair share,
+// and slots stay free for callers.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,8 @@
 {
   double limit = 8;
   std::size_t under_way = 0;
-  // No further cut before this time: refusals come together.
+  // The limit is not decreased again before this time, because refusals arrive
+  // in bursts.
   std::uint64_t settled_ms = 0;
 
   friend bool operator==(const score_limit&, const score_limit&) = default;
@@ -36,13 +37,13 @@
 enum class score_end
 {
   answered,
-  // Some server had no place for it, or ended under it.
+  // A server had no free slot for the call or crashed during it.
   refused,
-  // Given up here; it says nothing of the servers.
+  // The call was cancelled by its owner, which says nothing about the servers.
   cancelled,
 };
 
-// `places` are those of the service, 0 if not known.
+// `slots` is the number of slots of the service, or 0 if unknown.
 void
 note_end(score_limit& l, score_end e, std::size_t places, std::uint64_t now_ms);
 
--- a/cactusford/batches/score_queue.h
+++ b/cactusford/batches/score_queue.h
@@ -1,12 +1,13 @@
-// Texts that wait for their scorer's call, and which of them goes next. Pure.
+// Queue of texts that wait for their scorer call. Pure.
 //
-// Pattern: sixty texts of a step are to be scored, and one of these calls ends
-// each server that runs it. Servers come back within half a second of each
-// other; all calls that wait are sent at once, a poisonous one takes those
-// beside it down each time, and nothing tells it from them. So a call under
-// which a server has ended goes alone among its like: the healthy ones are
-// answered and cleared one after the other, and the poisonous one ends its
-// server by itself.
+// When sixty texts of a step are to be scored and one of the calls is a poison
+// request, it crashes each server that runs it. If all waiting calls were sent
+// as soon as servers have restarted, which they do within half a second of each
+// other, the poison request would bring down the calls beside it each time and
+// could not be told apart from them. A call during which a server has crashed
+// is therefore sent without any other such call in flight: healthy calls are
+// answered and cleared one by one, and the poison request crashes its server
+// alone.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +18,7 @@
 
 namespace cactusford::batches {
 
-// A text without its score: the batch, and the item's place in it.
+// A text without a score: the batch, and the item's index in it.
 struct unscored_text
 {
   std::string batch;
@@ -28,7 +29,7 @@
 
 struct score_queue
 {
-  // In the order they came.
+  // In the order of arrival.
   std::deque<unscored_text> waiting;
   bool suspect_is_under_way = false;
 
@@ -38,7 +39,8 @@
 struct next_score
 {
   unscored_text text;
-  // Servers have ended under this call: tell `note_suspect_ended` of its end.
+  // Servers have crashed during this call; call `on_suspect_finished` when it
+  // ends.
   bool is_suspect = false;
 
   friend bool operator==(const next_score&, const next_score&) = default;
@@ -47,7 +49,7 @@
 void
 add(score_queue& q, unscored_text t);
 
-// The first that may go, taken off the queue.
+// Removes and returns the first text whose call may be sent.
 std::optional<next_score>
 take_next(score_queue& q,
           const std::function<bool(const unscored_text&)>& is_suspect);
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -1,4 +1,4 @@
-// What an instance holds of a batch while it runs.
+// The in-memory state of a batch and its items.
 #pragma once
 
 #include "cactusford/backends/registry.h"
@@ -31,16 +31,17 @@
   item_stage stage = item_stage::waiting;
   item_text text;
   std::uint32_t tries = 0;
-  // Answers of 500, of engines and of the scorer.
+  // Number of 500 responses from engines and from the scorer.
   std::uint32_t failed_runs = 0;
   std::uint32_t failed_scores = 0;
   std::uint64_t not_before_ms = 0;
-  // The engine that just failed it.
+  // The engine on which the item's last run failed.
   std::string not_on;
-  // What it asks for, whatever its id; set by its first run.
+  // Fingerprint of the item's request, independent of its id; set by the first
+  // run.
   quarantine::fingerprint work;
 
-  // The present run.
+  // The current run.
   std::uint64_t run = 0;
   backends::life backend;
   std::string address;
@@ -53,7 +54,7 @@
   std::uint64_t last_event_ms = 0;
   std::uint64_t events_in_run = 0;
 
-  // The scorer's call.
+  // The scorer call.
   std::uint32_t score_tries = 0;
   std::uint64_t score_again_ms = 0;
   std::function<void()> cancel_score;
@@ -66,7 +67,7 @@
   std::uint64_t until_ms = 0;
 };
 
-// Text of an item whose batch has ended.
+// Text of an item whose batch has ended, for reuse in a later batch.
 struct carried_item
 {
   item_text text;
@@ -75,62 +76,65 @@
 
 struct batch_state
 {
-  // Fills in the submission.
+  // Stores the submission and creates the states of its items.
   void set(submission s, const std::string& version_line);
 
-  // Drops the submission and its items: nothing is run any more.
+  // Drops the submission and its items; none of them can run any more.
   void release();
 
-  // Not ended, and something may be left to do.
+  // Returns true if the batch has not ended.
   bool is_open() const;
 
-  // Marks the items that are listed as finished and stops nothing.
+  // Marks waiting items that have a listed result as finished. Does not stop
+  // any runs.
   void drop_listed();
 
-  // Counts the items without a result anew.
+  // Recalculates the number of unfinished items of each group.
   void recount();
 
-  // Groups of which all items have a result.
+  // Returns the number of groups in which every item has a result.
   std::size_t whole_groups() const;
 
-  // An item has its result; notes whether its group is whole by that.
+  // Called when an item has its result; records whether that completes its
+  // group.
   void note_finished(std::size_t index, std::uint64_t now_ms);
 
   const item* find_item(const std::string& id) const;
 
   stored_batch stored;
   bool has_submission = false;
-  // Called when the submission has been read, or could not be.
+  // Called with true when the submission has been read, or with false if that
+  // failed.
   std::vector<std::function<void(bool)>> want_submission;
   batches::submission submission;
   std::vector<item_state> items;
   std::unordered_map<std::string, std::size_t> index_of;
-  // Of each group, the items without a result.
+  // Number of items without a result, by group.
   std::map<std::string, std::size_t> missing;
   batches::ledger ledger;
   std::vector<waiting_reader> readers;
-  // This instance owns it, and has read all chunks.
+  // This instance owns the batch; and it has read all of its chunks.
   bool owned = false;
   bool loaded = false;
   bool load_again = false;
-  // It ended while this instance owned it and knew all its chunks: nothing is
-  // listed any more.
+  // The batch ended while this instance owned it and knew all of its chunks, so
+  // no more results will be listed.
   bool complete = false;
-  // Somebody else may own it by now; until the store has been asked, nobody is
-  // told that there is nothing more.
+  // Another instance may own the batch by now. Until the store has confirmed
+  // the owner, no reader is told that there are no more results.
   bool doubted = false;
   bool verifying = false;
   bool taking_over = false;
   bool removing = false;
   bool group_became_whole = false;
-  // Revision at which this instance became the owner.
+  // Revision of the batch object at which this instance became the owner.
   std::uint64_t epoch = 0;
   // On the steady clock.
   std::uint64_t due_ms = 0;
-  // When a group became whole that is not yet written.
+  // When the oldest complete group that is not yet written was completed.
   std::uint64_t whole_since_ms = 0;
-  // The kept text of running items: when it was last written, and whether it
-  // stands in the store.
+  // The saved text of running items: when it was last written, whether a write
+  // is in progress, and whether the object exists in the store.
   std::uint64_t saved_ms = 0;
   bool saving = false;
   bool has_saved = false;
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -10,18 +10,20 @@
 
 namespace {
 
-// What an entry that passes a submission on says beside it.
+// Headers that an entry adds when it forwards a submission.
 constexpr std::string_view target_header = "Caller-Target";
 constexpr std::string_view workspace_header = "Caller-Workspace";
 constexpr std::string_view patience_header = "Caller-Patience-Ms";
 
-// A submission of some hundred kilobytes between two small entries, and the
-// store's answers. Without an answer the entry that was asked first accepts it
-// itself; the caller still waits.
+// Timeouts for forwarding a submission: they cover a transfer of some hundred
+// kilobytes between two small entries, and the store's answers. If there is no
+// response, the entry that received the submission accepts it itself while the
+// caller is still waiting.
 constexpr std::uint64_t pass_on_ms = 1000;
 constexpr std::uint64_t pass_on_connect_ms = 250;
 
-// Nothing of it runs; and: the instance takes no batches, another must accept.
+// 503: nothing of the batch will run. 421: the instance accepts no batches, so
+// another one must.
 constexpr int refused = 503;
 constexpr int not_here = 421;
 
@@ -45,8 +47,8 @@
   return a;
 }
 
-// It was accepted before. Under the id of another workspace's batch nothing is
-// accepted, nor told.
+// Answers a submission that was accepted before. If the id belongs to a batch
+// of another workspace, nothing is accepted and its existence is not revealed.
 http::response
 answer_again(const stored_batch& b, const std::string& workspace)
 {
@@ -55,10 +57,11 @@
 
 } // namespace
 
-// A submission goes whole to the entry that is to run it, and that one accepts
-// it. Accepted here and given to its owner, it was parsed and sent twice, and
-// the owner, whose watch knew of it first, read it back from the store: its
-// items began 0.14 to 0.9 s late.
+// Forwards a submission to the entry that should run it, which also accepts it.
+// When the receiving entry accepted it and then assigned it to its owner, the
+// submission was parsed and sent twice, and the owner, whose watch showed the
+// batch first, read it back from the store: its items started 0.14 to 0.9 s
+// late.
 void
 keeper::accept(const http::call& caller,
                const std::string& id,
@@ -105,8 +108,10 @@
     peer, id, std::string{ *target }, workspace, http::now_ms() + *patience));
 }
 
-// Without an answer the other may have accepted it, or do so later: the head is
-// created once, and "not run" can no longer be promised.
+// Forwards the submission to another entry. If that entry does not respond, it
+// may have accepted the batch or may still do so. Accepting the batch here is
+// safe because its object is created only once, but "not run" can no longer be
+// promised.
 void
 keeper::impl::pass_on(const std::shared_ptr<acceptance>& a,
                       const membership::member& to)
@@ -151,7 +156,8 @@
     });
 }
 
-// The parts go first and the head last: a batch is there when its head stands.
+// Writes the parts first and the batch object last: a batch exists once its
+// object is stored.
 void
 keeper::impl::accept_here(const std::shared_ptr<acceptance>& a)
 {
@@ -169,7 +175,8 @@
   write_parts(a);
 }
 
-// A part that stands already is that of an earlier try of the same submission.
+// Writes the next part. A part that already exists was written by an earlier
+// attempt at the same submission.
 void
 keeper::impl::write_parts(const std::shared_ptr<acceptance>& a)
 {
@@ -197,7 +204,7 @@
 void
 keeper::impl::write_head(const std::shared_ptr<acceptance>& a)
 {
-  // A leaving instance accepts for the others.
+  // An instance that is shutting down accepts batches for others to run.
   const auto owner = leaving ? membership::member{} : self();
   a->head.owner = owner.instance;
   a->head.owner_address = owner.address;
@@ -218,7 +225,7 @@
   return { p.instance, p.address, p.capacity };
 }
 
-// What is known for the placement of a batch of this route.
+// Collects what is known for the placement of a batch of this route.
 placement_view
 keeper::impl::view_of(const std::string& host, const std::string& target)
 {
@@ -273,8 +280,8 @@
                                  : answer_again(b->stored, a->head.workspace));
 }
 
-// A create that met nobody's batch is made again until the caller's time is
-// nearly up: it takes place once, whatever gets lost.
+// Retries a step of the acceptance until the caller's time is nearly up. The
+// objects are created at most once, even if answers are lost.
 void
 keeper::impl::accept_again(
   const std::shared_ptr<acceptance>& a,
@@ -294,8 +301,8 @@
     });
 }
 
-// 503 promises that no item runs, which a lost write of the head does not
-// allow. Parts alone run nothing.
+// A 503 response promises that no item will run. That is impossible if a write
+// of the batch object got no answer; parts alone do not run anything.
 void
 keeper::impl::refuse(const acceptance& a)
 {
@@ -308,9 +315,10 @@
   accepting.erase(a.id);
 }
 
-// The caller may have had the same batch accepted elsewhere, with these parts.
-// When its batch could no longer be read in any case, the parts are of no use:
-// kept for ever, those of refused batches would fill the store.
+// Removes the parts of a refused batch after the retention time, unless the
+// batch exists by then: the caller may have had the same batch accepted
+// elsewhere with these parts. If they were kept, the parts of refused batches
+// would fill the store.
 void
 keeper::impl::remove_unclaimed(const std::string& id, std::uint64_t parts)
 {
@@ -355,7 +363,7 @@
     });
 }
 
-// Readers that come together share one look.
+// Concurrent readers share one read of the store.
 void
 keeper::impl::with_submission(batch_state& b, std::function<void(bool)> done)
 {
--- a/cactusford/batches/use.cc
+++ b/cactusford/batches/use.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Between two messages of one owner to another. A change that is told later has
-// met runs of the other already; one that is told sooner costs a message of its
-// own.
+// Minimum time between two reports of one owner to another. With a longer
+// interval, runs of another owner reach the same engines before a change is
+// reported; with a shorter one, each change costs a message of its own.
 constexpr std::uint64_t tell_ms = 100;
 
-// What has not changed is told again before it counts as old.
+// Unchanged usage is reported again before the last report expires.
 constexpr std::uint64_t tell_again_ms = 400;
 
 constexpr std::uint64_t tell_timeout_ms = 300;
@@ -71,7 +71,7 @@
   o.timeout_ms = tell_timeout_ms;
   o.connect_timeout_ms = tell_timeout_ms / 2;
   for (const auto& address : to) {
-    // What gets lost is told again.
+    // A lost report is replaced by the next one.
     p.http.fetch(address, r, o, [](http::end_state, http::response&&) {});
   }
 }
