--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -149,7 +149,7 @@
   quarantine::guard guard;
   forwarder calls;
   usage::meter meter;
-  batches::keeper keeper;
+  batches::manager keeper;
   store::watcher configuration;
   store::watcher backend_list;
   store::watcher batch_list;
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -64,7 +64,7 @@
   // Started by the tests that need it.
   quarantine::guard guard;
   edge::forwarder forwarder;
-  std::unique_ptr<batches::keeper> keeper;
+  std::unique_ptr<batches::manager> keeper;
   std::unique_ptr<store::watcher> watcher;
   bool running = true;
   // The largest entries, as it has heard.
@@ -86,7 +86,7 @@
   {
     cr_assert_not(peer.listen("127.0.0.1:0"));
     cr_assert_not(front.listen("127.0.0.1:0"));
-    keeper = std::make_unique<batches::keeper>(
+    keeper = std::make_unique<batches::manager>(
       batches::keeper_parts{ io,
                              http,
                              store,
