--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -59,14 +59,14 @@
 }
 
 batch_state*
-keeper::impl::known(const std::string& id)
+manager::impl::known(const std::string& id)
 {
   const auto found = batches.find(id);
   return found == batches.end() ? nullptr : found->second.get();
 }
 
 batch_state*
-keeper::impl::learn(const store::object& o)
+manager::impl::learn(const store::object& o)
 {
   auto s = decode_batch(o.name, o.revision, o.spec, o.status);
   if (!s) {
@@ -94,7 +94,7 @@
 
 // An instance that owns batches may relay this instance's calls to the store.
 void
-keeper::impl::note_owner(const batch_state& b)
+manager::impl::note_owner(const batch_state& b)
 {
   const auto& address = b.stored.owner_address;
   if (b.is_open() && !address.empty() && address != p.address) {
@@ -106,7 +106,7 @@
 // batch that is still being accepted starts when its write is acknowledged,
 // because only then is it known to have no listed results.
 void
-keeper::impl::own_ours(batch_state& b, bool is_fresh)
+manager::impl::own_ours(batch_state& b, bool is_fresh)
 {
   const bool ours = b.is_open() && b.stored.owner == p.instance;
   if (ours && !b.owned && !accepting.contains(b.stored.id)) {
@@ -117,7 +117,7 @@
 // Returns the matching route of the current table. The pointer keeps that table
 // alive, so the route does not change while it is held.
 std::shared_ptr<const routes::route>
-keeper::impl::route_to(const std::string& host, const std::string& path) const
+manager::impl::route_to(const std::string& host, const std::string& path) const
 {
   const auto table = p.table();
   const auto* route = table ? routes::match(*table, host, path) : nullptr;
@@ -127,7 +127,7 @@
 // Returns the time when the results are due, on the steady clock. The age of
 // the batch is capped because the clocks of instances differ.
 std::uint64_t
-keeper::impl::due_of(const batch_state& b) const
+manager::impl::due_of(const batch_state& b) const
 {
   constexpr std::uint64_t longest_age_ms = 60000;
   const auto wall = timeline::wall_ms();
@@ -140,7 +140,7 @@
 }
 
 void
-keeper::impl::update(batch_state& b, stored_batch&& s)
+manager::impl::update(batch_state& b, stored_batch&& s)
 {
   if (s.revision <= b.stored.revision) {
     return;
@@ -171,7 +171,7 @@
 // Stops the work on a batch that has ended. Its texts may be reused in a later
 // batch.
 void
-keeper::impl::close(batch_state& b)
+manager::impl::close(batch_state& b)
 {
   remember(b);
   disown(b, "ended");
@@ -181,7 +181,7 @@
 }
 
 void
-keeper::impl::forget(const std::string& id)
+manager::impl::forget(const std::string& id)
 {
   if (auto* b = known(id)) {
     disown(*b, "removed");
@@ -194,8 +194,8 @@
 // The second argument of `done` is false if the store did not answer; only then
 // may a batch that was not found exist.
 void
-keeper::impl::lookup(const std::string& id,
-                     std::function<void(batch_state*, bool)> done)
+manager::impl::lookup(const std::string& id,
+                      std::function<void(batch_state*, bool)> done)
 {
   if (auto* b = known(id)) {
     done(b, true);
@@ -217,7 +217,7 @@
 // Returns the reason to take the batch over, or nothing while its owner is
 // believed to be alive.
 std::optional<std::string_view>
-keeper::impl::owner_silence(const batch_state& b, std::uint64_t now)
+manager::impl::owner_silence(const batch_state& b, std::uint64_t now)
 {
   const auto spread =
     std::hash<std::string>{}(p.instance + b.stored.id) % takeover_spread_ms;
@@ -245,7 +245,7 @@
 }
 
 void
-keeper::impl::note_store(std::uint64_t now)
+manager::impl::note_store(std::uint64_t now)
 {
   const bool there = now - p.store.last_answer_ms() <= store_answer_age_ms;
   if (!there) {
@@ -256,7 +256,7 @@
 }
 
 void
-keeper::impl::tick()
+manager::impl::tick()
 {
   timer.expires_after(std::chrono::milliseconds{ tick_ms });
   timer.async_wait([self = shared_from_this()](asio::error_code ec) {
@@ -309,26 +309,26 @@
   }
 }
 
-keeper::keeper(keeper_parts parts)
+manager::manager(keeper_parts parts)
   : impl_{ std::make_shared<impl>(std::move(parts)) }
 {
 }
 
-keeper::~keeper()
+manager::~manager()
 {
   impl_->timer.cancel();
 }
 
 void
-keeper::start()
+manager::start()
 {
   impl_->tick();
 }
 
 void
-keeper::read(const http::call& caller,
-             const edge::batch_request& r,
-             bool from_peer)
+manager::read(const http::call& caller,
+              const edge::batch_request& r,
+              bool from_peer)
 {
   impl_->lookup(
     r.id, [self = impl_, caller, r, from_peer](batch_state* b, bool sure) {
@@ -364,7 +364,7 @@
 }
 
 void
-keeper::read_item(const http::call& caller, const edge::batch_request& r)
+manager::read_item(const http::call& caller, const edge::batch_request& r)
 {
   impl_->lookup(r.id, [self = impl_, caller, r](batch_state* b, bool sure) {
     if (b == nullptr || !is_of(b->stored, r.workspace)) {
@@ -392,7 +392,7 @@
 }
 
 void
-keeper::end(const http::call& caller, const edge::batch_request& r)
+manager::end(const http::call& caller, const edge::batch_request& r)
 {
   const auto& id = r.id;
   impl_->lookup(id, [self = impl_, caller, id, r](batch_state* b, bool sure) {
@@ -416,7 +416,7 @@
 }
 
 void
-keeper::on_ended(const std::string& id)
+manager::on_ended(const std::string& id)
 {
   auto* b = impl_->known(id);
   if (b == nullptr || b->stored.ended) {
@@ -431,7 +431,7 @@
 }
 
 void
-keeper::on_taken(const std::string& id)
+manager::on_taken(const std::string& id)
 {
   if (auto* b = impl_->known(id)) {
     impl_->doubt(*b, "taken");
@@ -440,13 +440,13 @@
 
 // An owner that has no path to the store cannot list results.
 bool
-keeper::can_own() const
+manager::can_own() const
 {
   return !impl_->leaving && !impl_->p.store.is_cut_off(http::now_ms());
 }
 
 void
-keeper::on_list(std::vector<store::object>&& all)
+manager::on_list(std::vector<store::object>&& all)
 {
   std::vector<std::string> gone;
   for (const auto& known : impl_->batches) {
@@ -466,7 +466,7 @@
 }
 
 void
-keeper::on_change(store::change&& c)
+manager::on_change(store::change&& c)
 {
   if (c.deleted) {
     impl_->forget(c.value.name);
@@ -476,14 +476,14 @@
 }
 
 void
-keeper::on_backends()
+manager::on_backends()
 {
   impl_->leave_ended_lives();
   impl_->plan_soon();
 }
 
 std::size_t
-keeper::owned() const
+manager::owned() const
 {
   return static_cast<std::size_t>(std::count_if(
     impl_->batches.begin(), impl_->batches.end(), [](const auto& e) {
@@ -492,7 +492,7 @@
 }
 
 void
-keeper::leave(std::function<void()> done)
+manager::leave(std::function<void()> done)
 {
   impl_->leaving = true;
   auto left = std::make_shared<std::size_t>(1);
--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -61,11 +61,11 @@
   quarantine::guard* guard = nullptr;
 };
 
-class keeper
+class manager
 {
 public:
-  explicit keeper(keeper_parts parts);
-  ~keeper();
+  explicit manager(keeper_parts parts);
+  ~manager();
 
   // Starts the periodic checks.
   void start();
--- a/cactusford/batches/keeper_impl.h
+++ b/cactusford/batches/keeper_impl.h
@@ -59,7 +59,7 @@
 
 } // namespace detail
 
-struct keeper::impl : std::enable_shared_from_this<keeper::impl>
+struct manager::impl : std::enable_shared_from_this<manager::impl>
 {
   explicit impl(keeper_parts parts)
     : p{ std::move(parts) }
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -28,7 +28,7 @@
 } // namespace
 
 void
-keeper::impl::own(batch_state& b, bool is_fresh)
+manager::impl::own(batch_state& b, bool is_fresh)
 {
   if (leaving) {
     return;
@@ -59,7 +59,7 @@
 
 // Reads the listed results before this instance adds to them.
 void
-keeper::impl::load_tenure(const std::string& id)
+manager::impl::load_tenure(const std::string& id)
 {
   load_chunks(id, [self = shared_from_this(), id](bool ok) {
     auto* loaded = self->known(id);
@@ -76,7 +76,7 @@
 // Called when all chunks have been read. Creates the fence; once it is stored,
 // no previous owner can add a chunk, and results may be shown.
 void
-keeper::impl::begin_tenure(const std::string& id)
+manager::impl::begin_tenure(const std::string& id)
 {
   constexpr int fence_tries = 5;
   fence(id, fence_tries, [self = shared_from_this(), id](bool fenced) {
@@ -101,7 +101,7 @@
 }
 
 void
-keeper::impl::disown(batch_state& b, std::string_view why)
+manager::impl::disown(batch_state& b, std::string_view why)
 {
   if (!b.owned) {
     return;
@@ -136,9 +136,9 @@
 }
 
 void
-keeper::impl::fence(const std::string& id,
-                    int tries,
-                    std::function<void(bool)> done)
+manager::impl::fence(const std::string& id,
+                     int tries,
+                     std::function<void(bool)> done)
 {
   auto* b = known(id);
   if (b == nullptr || !b->owned || tries == 0) {
@@ -187,7 +187,8 @@
 // is known, a list fetches many at once. Later chunks are fetched one by one,
 // because a list would also return the chunks of other batches.
 void
-keeper::impl::load_chunks(const std::string& id, std::function<void(bool)> done)
+manager::impl::load_chunks(const std::string& id,
+                           std::function<void(bool)> done)
 {
   auto* b = known(id);
   if (b == nullptr) {
@@ -236,7 +237,7 @@
 
 // Adds the chunk if it is the next one; skips any other.
 bool
-keeper::impl::take_chunk(const std::string& id, const store::object& o)
+manager::impl::take_chunk(const std::string& id, const store::object& o)
 {
   auto* b = known(id);
   if (b == nullptr || o.name != chunk_name(id, b->ledger.chunks)) {
@@ -255,10 +256,10 @@
 // a conflict, which returns the newer status, the change is applied to that one
 // and retried.
 void
-keeper::impl::write_status(const std::string& id,
-                           std::function<void(stored_batch&)> change,
-                           std::function<void(store::verdict)> done,
-                           int tries)
+manager::impl::write_status(const std::string& id,
+                            std::function<void(stored_batch&)> change,
+                            std::function<void(store::verdict)> done,
+                            int tries)
 {
   auto* b = known(id);
   if (b == nullptr) {
@@ -314,7 +315,7 @@
 // Probes the owners of open batches. Only their own silence counts, because the
 // store may be unreachable for this instance alone.
 void
-keeper::impl::ask_owners(std::uint64_t now)
+manager::impl::ask_owners(std::uint64_t now)
 {
   if (now - last_ask < owner_ask_ms) {
     return;
@@ -362,9 +363,9 @@
 // show results of a batch that it no longer owns. If the message is lost, the
 // watch eventually delivers the change.
 void
-keeper::impl::tell(const std::string& address,
-                   std::string_view path,
-                   const std::string& id)
+manager::impl::tell(const std::string& address,
+                    std::string_view path,
+                    const std::string& id)
 {
   if (address.empty() || address == p.address) {
     return;
@@ -390,7 +391,7 @@
 // for whom this instance has no further results are asked to retry, instead of
 // being told that there are none.
 void
-keeper::impl::doubt(batch_state& b, std::string_view why)
+manager::impl::doubt(batch_state& b, std::string_view why)
 {
   if (!b.owned || b.doubted) {
     return;
@@ -405,7 +406,7 @@
 
 // Reads the current owner of a batch from the store.
 void
-keeper::impl::verify(batch_state& b)
+manager::impl::verify(batch_state& b)
 {
   if (b.verifying) {
     return;
@@ -436,7 +437,7 @@
 // instance is suspended, but the wall clock does. A step of the wall clock
 // costs only one additional read.
 void
-keeper::impl::note_alive(std::uint64_t now)
+manager::impl::note_alive(std::uint64_t now)
 {
   const auto wall = timeline::wall_ms();
   const auto before = std::exchange(alive_ms, now);
@@ -453,7 +454,7 @@
 }
 
 void
-keeper::impl::take_over(batch_state& b, std::string_view why)
+manager::impl::take_over(batch_state& b, std::string_view why)
 {
   if (b.taking_over || leaving) {
     return;
--- a/cactusford/batches/progress_store.cc
+++ b/cactusford/batches/progress_store.cc
@@ -45,7 +45,7 @@
 } // namespace
 
 void
-keeper::impl::save_progress(batch_state& b, std::function<void()> done)
+manager::impl::save_progress(batch_state& b, std::function<void()> done)
 {
   const auto now = http::now_ms();
   b.saved_ms = now;
@@ -77,7 +77,7 @@
 }
 
 void
-keeper::impl::maybe_save(batch_state& b, std::uint64_t now)
+manager::impl::maybe_save(batch_state& b, std::uint64_t now)
 {
   if (!b.saving && now - b.saved_ms >= save_every_ms) {
     save_progress(b, [] {});
@@ -85,7 +85,7 @@
 }
 
 void
-keeper::impl::load_progress(const std::string& id, std::function<void()> done)
+manager::impl::load_progress(const std::string& id, std::function<void()> done)
 {
   store::call c;
   c.op = store::operation::get;
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -36,7 +36,7 @@
 // completed before the last required one do not affect when the step ends, so
 // they share a write.
 void
-keeper::impl::maybe_write(batch_state& b, std::uint64_t now)
+manager::impl::maybe_write(batch_state& b, std::uint64_t now)
 {
   if (!b.owned || !b.loaded || b.ledger.writing != 0 ||
       b.ledger.pending.empty() || now < b.write_again_ms) {
@@ -55,7 +55,7 @@
 }
 
 void
-keeper::impl::write_results(batch_state& b)
+manager::impl::write_results(batch_state& b)
 {
   b.group_became_whole = false;
   const auto results = begin_chunk(b.ledger, chunk_bytes);
@@ -99,7 +99,7 @@
 // there is nothing yet, the lost write may still be applied; the next create
 // would then get a conflict.
 void
-keeper::impl::read_back(const std::string& id, std::uint64_t chunk)
+manager::impl::read_back(const std::string& id, std::uint64_t chunk)
 {
   load_chunks(id, [self = shared_from_this(), id, chunk](bool) {
     auto* b = self->known(id);
@@ -119,7 +119,7 @@
 }
 
 void
-keeper::impl::on_chunk(const std::string& id, stored_chunk chunk)
+manager::impl::on_chunk(const std::string& id, stored_chunk chunk)
 {
   auto* b = known(id);
   if (b == nullptr) {
@@ -138,16 +138,16 @@
 }
 
 void
-keeper::impl::respond_page(const http::call& c,
-                           batch_state& b,
-                           std::uint64_t after)
+manager::impl::respond_page(const http::call& c,
+                            batch_state& b,
+                            std::uint64_t after)
 {
   const auto page = page_of(b.ledger, b.stored.items, after, page_bytes);
   c.respond(answer(200, p.dialect.encode_page(page)));
 }
 
 void
-keeper::impl::answer_readers(batch_state& b, std::uint64_t now)
+manager::impl::answer_readers(batch_state& b, std::uint64_t now)
 {
   auto readers = std::move(b.readers);
   b.readers.clear();
@@ -166,7 +166,7 @@
 // may already be in the store, and others may have read it from there. If a
 // trainer were shown fewer results than before, it would consider them lost.
 void
-keeper::impl::answer_reader(const waiting_reader& r, batch_state& b)
+manager::impl::answer_reader(const waiting_reader& r, batch_state& b)
 {
   const bool more = b.ledger.listed.size() > r.after;
   const bool knows_all =
@@ -179,9 +179,9 @@
 }
 
 void
-keeper::impl::read_from_owner(const http::call& caller,
-                              batch_state& b,
-                              const edge::batch_request& r)
+manager::impl::read_from_owner(const http::call& caller,
+                               batch_state& b,
+                               const edge::batch_request& r)
 {
   http::request ask;
   ask.method = "GET";
@@ -208,8 +208,8 @@
 }
 
 void
-keeper::impl::read_from_store(const http::call& caller,
-                              const edge::batch_request& r)
+manager::impl::read_from_store(const http::call& caller,
+                               const edge::batch_request& r)
 {
   auto* b = known(r.id);
   const auto now = http::now_ms();
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -22,7 +22,7 @@
 // Removes ended batches after the time during which callers may read them.
 // Otherwise the store and the memory of each entry would grow without limit.
 void
-keeper::impl::remove_expired(std::uint64_t now)
+manager::impl::remove_expired(std::uint64_t now)
 {
   if (now - last_expiry_look < look_ms || leaving) {
     return;
@@ -47,7 +47,7 @@
 // the batch object last. An interrupted removal is resumed because the batch
 // object still exists.
 void
-keeper::impl::remove_chunk(const std::string& id, std::uint64_t chunk)
+manager::impl::remove_chunk(const std::string& id, std::uint64_t chunk)
 {
   store::call c;
   c.op = store::operation::remove;
@@ -65,7 +65,7 @@
 }
 
 void
-keeper::impl::remove_rest(const std::string& id)
+manager::impl::remove_rest(const std::string& id)
 {
   store::call text;
   text.op = store::operation::remove;
@@ -85,7 +85,7 @@
 }
 
 void
-keeper::impl::remove_head(const std::string& id)
+manager::impl::remove_head(const std::string& id)
 {
   store::call batch;
   batch.op = store::operation::remove;
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -42,7 +42,7 @@
 } // namespace
 
 void
-keeper::impl::plan_soon()
+manager::impl::plan_soon()
 {
   if (plan_posted) {
     return;
@@ -56,7 +56,7 @@
 
 // Returns the typical time between two events of an engine that is not slow.
 double
-keeper::impl::usual_event_ms(const batch_state& b) const
+manager::impl::usual_event_ms(const batch_state& b) const
 {
   // Used until a stream has been observed: what engines of this class need.
   constexpr double before_any_ms = 40;
@@ -70,7 +70,7 @@
 }
 
 bool
-keeper::impl::has_workspaces() const
+manager::impl::has_workspaces() const
 {
   const auto table = p.table();
   return table != nullptr && table->workspaces.has_value();
@@ -78,9 +78,9 @@
 
 // Returns the expected remaining time of an item's run.
 std::uint64_t
-keeper::impl::expected_ms(const batch_state& b,
-                          const item_state& i,
-                          double usual_event_ms) const
+manager::impl::expected_ms(const batch_state& b,
+                           const item_state& i,
+                           double usual_event_ms) const
 {
   const auto hint = b.submission.items[i.index].length_hint;
   const auto made = usual_event_ms * static_cast<double>(i.text.events);
@@ -89,7 +89,7 @@
 
 // Starts waiting items on engines, those with the least slack first.
 void
-keeper::impl::plan()
+manager::impl::plan()
 {
   const auto now = http::now_ms();
   std::vector<batch_state*> open;
@@ -122,7 +122,7 @@
 }
 
 bool
-keeper::impl::launch(batch_state& b, item_state& i, std::uint32_t urgency)
+manager::impl::launch(batch_state& b, item_state& i, std::uint32_t urgency)
 {
   const auto route = route_to(b.stored.host, b.stored.target);
   if (route == nullptr || route->services.empty()) {
@@ -227,7 +227,7 @@
 // that: it waits and its group stays incomplete, while the other items
 // continue.
 bool
-keeper::impl::is_kept_out(const batch_state& b, const item_state& i)
+manager::impl::is_kept_out(const batch_state& b, const item_state& i)
 {
   if (p.guard == nullptr) {
     return false;
@@ -249,7 +249,7 @@
 // Reports the end of a run to the quarantine. The first response of an engine
 // that has run the item, successful or not, clears the item.
 void
-keeper::impl::tell_guard(const item_state& i, http::end_state end)
+manager::impl::tell_guard(const item_state& i, http::end_state end)
 {
   if (p.guard == nullptr) {
     return;
@@ -265,9 +265,9 @@
 }
 
 item_state*
-keeper::impl::current_run(const std::string& id,
-                          std::size_t at,
-                          std::uint64_t run)
+manager::impl::current_run(const std::string& id,
+                           std::size_t at,
+                           std::uint64_t run)
 {
   auto* b = known(id);
   if (b == nullptr || at >= b->items.size()) {
@@ -279,10 +279,10 @@
 }
 
 void
-keeper::impl::on_run_head(const std::string& id,
-                          std::size_t at,
-                          std::uint64_t run,
-                          const http::head& h)
+manager::impl::on_run_head(const std::string& id,
+                           std::size_t at,
+                           std::uint64_t run,
+                           const http::head& h)
 {
   auto* i = current_run(id, at, run);
   if (i == nullptr) {
@@ -328,10 +328,10 @@
 }
 
 void
-keeper::impl::on_body(const std::string& id,
-                      std::size_t at,
-                      std::uint64_t run,
-                      std::string_view data)
+manager::impl::on_body(const std::string& id,
+                       std::size_t at,
+                       std::uint64_t run,
+                       std::string_view data)
 {
   auto* i = current_run(id, at, run);
   constexpr int ok = 200;
@@ -380,10 +380,10 @@
 }
 
 void
-keeper::impl::on_run_end(const std::string& id,
-                         std::size_t at,
-                         std::uint64_t run,
-                         http::end_state end)
+manager::impl::on_run_end(const std::string& id,
+                          std::size_t at,
+                          std::uint64_t run,
+                          http::end_state end)
 {
   auto* i = current_run(id, at, run);
   if (i == nullptr) {
@@ -439,7 +439,7 @@
 }
 
 void
-keeper::impl::stop_run(item_state& i)
+manager::impl::stop_run(item_state& i)
 {
   i.sent.cancel();
   i.sent = {};
@@ -450,10 +450,10 @@
 }
 
 void
-keeper::impl::retry_item(batch_state& b,
-                         item_state& i,
-                         std::uint64_t pause,
-                         std::string_view why)
+manager::impl::retry_item(batch_state& b,
+                          item_state& i,
+                          std::uint64_t pause,
+                          std::string_view why)
 {
   const auto& item = b.submission.items[i.index];
   process::log_line(timeline::event{ "item_retried" }
@@ -474,7 +474,7 @@
 // Runs on an incarnation that has crashed are lost, although their connections
 // may stay silent for seconds. Restarts them on other engines at once.
 void
-keeper::impl::leave_ended_lives()
+manager::impl::leave_ended_lives()
 {
   for (auto& entry : batches) {
     auto& b = *entry.second;
@@ -489,7 +489,7 @@
 }
 
 void
-keeper::impl::watch_runs(batch_state& b, std::uint64_t now)
+manager::impl::watch_runs(batch_state& b, std::uint64_t now)
 {
   const auto silence_limit = silence_limit_ms(usual_event_ms(b));
   for (auto& i : b.items) {
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -63,10 +63,10 @@
 // batch first, read it back from the store: its items started 0.14 to 0.9 s
 // late.
 void
-keeper::accept(const http::call& caller,
-               const std::string& id,
-               const std::string& workspace,
-               std::uint64_t give_up_ms)
+manager::accept(const http::call& caller,
+                const std::string& id,
+                const std::string& workspace,
+                std::uint64_t give_up_ms)
 {
   if (const auto* b = impl_->known(id)) {
     caller.respond(answer_again(b->stored, workspace));
@@ -83,7 +83,7 @@
 }
 
 void
-keeper::on_passed(const http::call& peer, const std::string& id)
+manager::on_passed(const http::call& peer, const std::string& id)
 {
   const auto& fields = peer.request().fields;
   const auto target = http::find(fields, target_header);
@@ -113,8 +113,8 @@
 // safe because its object is created only once, but "not run" can no longer be
 // promised.
 void
-keeper::impl::pass_on(const std::shared_ptr<acceptance>& a,
-                      const membership::member& to)
+manager::impl::pass_on(const std::shared_ptr<acceptance>& a,
+                       const membership::member& to)
 {
   const auto& request = a->caller.request();
   const auto now = http::now_ms();
@@ -159,7 +159,7 @@
 // Writes the parts first and the batch object last: a batch exists once its
 // object is stored.
 void
-keeper::impl::accept_here(const std::shared_ptr<acceptance>& a)
+manager::impl::accept_here(const std::shared_ptr<acceptance>& a)
 {
   const auto& body = a->caller.request().body;
   auto submission = p.dialect.submission_from(body);
@@ -178,7 +178,7 @@
 // Writes the next part. A part that already exists was written by an earlier
 // attempt at the same submission.
 void
-keeper::impl::write_parts(const std::shared_ptr<acceptance>& a)
+manager::impl::write_parts(const std::shared_ptr<acceptance>& a)
 {
   if (a->next_part == a->parts.size()) {
     write_head(a);
@@ -202,7 +202,7 @@
 }
 
 void
-keeper::impl::write_head(const std::shared_ptr<acceptance>& a)
+manager::impl::write_head(const std::shared_ptr<acceptance>& a)
 {
   // An instance that is shutting down accepts batches for others to run.
   const auto owner = leaving ? membership::member{} : self();
@@ -220,14 +220,14 @@
 }
 
 membership::member
-keeper::impl::self() const
+manager::impl::self() const
 {
   return { p.instance, p.address, p.capacity };
 }
 
 // Collects what is known for the placement of a batch of this route.
 placement_view
-keeper::impl::view_of(const std::string& host, const std::string& target)
+manager::impl::view_of(const std::string& host, const std::string& target)
 {
   placement_view v;
   v.self = self();
@@ -253,8 +253,8 @@
 }
 
 void
-keeper::impl::on_head(const std::shared_ptr<acceptance>& a,
-                      const store::reply& r)
+manager::impl::on_head(const std::shared_ptr<acceptance>& a,
+                       const store::reply& r)
 {
   const bool accepted =
     r.what == store::verdict::done || r.what == store::verdict::conflict;
@@ -283,7 +283,7 @@
 // Retries a step of the acceptance until the caller's time is nearly up. The
 // objects are created at most once, even if answers are lost.
 void
-keeper::impl::accept_again(
+manager::impl::accept_again(
   const std::shared_ptr<acceptance>& a,
   void (impl::*step)(const std::shared_ptr<acceptance>&))
 {
@@ -304,7 +304,7 @@
 // A 503 response promises that no item will run. That is impossible if a write
 // of the batch object got no answer; parts alone do not run anything.
 void
-keeper::impl::refuse(const acceptance& a)
+manager::impl::refuse(const acceptance& a)
 {
   process::log_line(timeline::event{ "batch_refused" }
                       .with("batch", a.id)
@@ -320,7 +320,7 @@
 // elsewhere with these parts. If they were kept, the parts of refused batches
 // would fill the store.
 void
-keeper::impl::remove_unclaimed(const std::string& id, std::uint64_t parts)
+manager::impl::remove_unclaimed(const std::string& id, std::uint64_t parts)
 {
   auto wait = std::make_shared<asio::steady_timer>(
     p.io, std::chrono::milliseconds{ p.keep_ms });
@@ -338,10 +338,10 @@
 }
 
 void
-keeper::impl::remove_parts(const std::string& id,
-                           std::uint64_t part,
-                           std::uint64_t parts,
-                           std::function<void(bool)> done)
+manager::impl::remove_parts(const std::string& id,
+                            std::uint64_t part,
+                            std::uint64_t parts,
+                            std::function<void(bool)> done)
 {
   if (part >= parts) {
     done(true);
@@ -365,7 +365,7 @@
 
 // Concurrent readers share one read of the store.
 void
-keeper::impl::with_submission(batch_state& b, std::function<void(bool)> done)
+manager::impl::with_submission(batch_state& b, std::function<void(bool)> done)
 {
   if (b.has_submission) {
     done(true);
@@ -378,9 +378,9 @@
 }
 
 void
-keeper::impl::read_part(const std::string& id,
-                        std::uint64_t part,
-                        std::string sofar)
+manager::impl::read_part(const std::string& id,
+                         std::uint64_t part,
+                         std::string sofar)
 {
   store::call c;
   c.op = store::operation::get;
@@ -415,7 +415,7 @@
 }
 
 void
-keeper::impl::end_read(const std::string& id, bool ok)
+manager::impl::end_read(const std::string& id, bool ok)
 {
   auto* b = known(id);
   if (b == nullptr) {
--- a/cactusford/batches/use.cc
+++ b/cactusford/batches/use.cc
@@ -19,7 +19,7 @@
 } // namespace
 
 engine_runs
-keeper::impl::own_runs() const
+manager::impl::own_runs() const
 {
   engine_runs runs;
   for (const auto& [id, b] : batches) {
@@ -36,7 +36,7 @@
 }
 
 std::set<std::string>
-keeper::impl::other_owners() const
+manager::impl::other_owners() const
 {
   std::set<std::string> addresses;
   for (const auto& [id, b] : batches) {
@@ -49,7 +49,7 @@
 }
 
 void
-keeper::impl::tell_use(std::uint64_t now)
+manager::impl::tell_use(std::uint64_t now)
 {
   if (now - told_ms < tell_ms) {
     return;
@@ -77,7 +77,7 @@
 }
 
 void
-keeper::on_use(const http::call& peer)
+manager::on_use(const http::call& peer)
 {
   auto t = told_use_from(store::parse_message(peer.request().body));
   if (!t) {
