--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -149,7 +149,7 @@
   quarantine::guard guard;
   forwarder calls;
   usage::meter meter;
-  batches::manager keeper;
+  batches::manager batch_manager;
   store::watcher configuration;
   store::watcher backend_list;
   store::watcher batch_list;
@@ -181,23 +181,23 @@
              started_ms,
              s.usage_reports,
              s.usage_window_ms } }
-  , keeper{ { h.io,
-              http,
-              store,
-              registry,
-              d,
-              calls,
-              [this] { return table; },
-              s.instance,
-              s.peer,
-              s.data_centre,
-              s.keep_batches_ms,
-              s.capacity,
-              [this] {
-                return membership::largest(
-                  entries, entries_named, http::now_ms());
-              },
-              &guard } }
+  , batch_manager{ { h.io,
+                     http,
+                     store,
+                     registry,
+                     d,
+                     calls,
+                     [this] { return table; },
+                     s.instance,
+                     s.peer,
+                     s.data_centre,
+                     s.keep_batches_ms,
+                     s.capacity,
+                     [this] {
+                       return membership::largest(
+                         entries, entries_named, http::now_ms());
+                     },
+                     &guard } }
   , configuration{ h.io,
                    store,
                    { d.kinds.configuration, shared_wait_ms, 0, true, true },
@@ -223,7 +223,7 @@
                      on_backend_list(std::move(all));
                    },
                     [this](store::change&& c) { on_backend(std::move(c)); },
-                    [this] { keeper.on_backends(); },
+                    [this] { batch_manager.on_backends(); },
                     [this](const store::unreadable& u) {
                       on_broken_backend(u);
                     } } }
@@ -231,9 +231,11 @@
                 store,
                 { std::string{ batches::batch_kind }, shared_wait_ms, 0, true },
                 { [this](std::vector<store::object>&& all) {
-                   keeper.on_list(std::move(all));
+                   batch_manager.on_list(std::move(all));
                  },
-                  [this](store::change&& c) { keeper.on_change(std::move(c)); },
+                  [this](store::change&& c) {
+                    batch_manager.on_change(std::move(c));
+                  },
                   {} } }
   , front{ h.io, {}, [this](http::call c) { on_caller(std::move(c)); } }
   , ready{ h.io,
@@ -249,7 +251,7 @@
       metrics.set("store_calls", static_cast<double>(store.calls()));
       metrics.set("backend_connections_opened",
                   static_cast<double>(http.opened()));
-      metrics.set("batches_owned", static_cast<double>(keeper.owned()));
+      metrics.set("batches_owned", static_cast<double>(batch_manager.owned()));
       show_views();
       show_guard();
       show_usage();
@@ -413,7 +415,7 @@
   registry.keep_missing_until_ms = http::now_ms() + missing_grace_ms;
   h.after(missing_grace_ms + 1, [this] {
     if (backends::expire(registry, http::now_ms())) {
-      keeper.on_backends();
+      batch_manager.on_backends();
     }
   });
 }
@@ -443,7 +445,7 @@
                       .with("revision", o.revision));
   front.limit(fresh->limits);
   table = std::make_shared<const routes::table>(std::move(*fresh));
-  keeper.on_backends();
+  batch_manager.on_backends();
 }
 
 // An entry that can't be read names no backend server, and what it announced
@@ -541,7 +543,7 @@
   if (route->kind == routes::call_kind::rollout) {
     const auto left = http::number(request.fields, d.headers.deadline_ms)
                         .value_or(route->timeout_ms);
-    keeper.accept(c, id, caller.workspace, c.received_ms() + left);
+    batch_manager.accept(c, id, caller.workspace, c.received_ms() + left);
     return;
   }
   forward(c, *route, id, caller);
@@ -557,13 +559,13 @@
   b.workspace = std::move(caller.workspace);
   switch (b.what) {
     case batch_operation::read_results:
-      keeper.read(c, b, false);
+      batch_manager.read(c, b, false);
       return;
     case batch_operation::read_item:
-      keeper.read_item(c, b);
+      batch_manager.read_item(c, b);
       return;
     case batch_operation::end:
-      keeper.end(c, b);
+      batch_manager.end(c, b);
       return;
     case batch_operation::none:
       return;
@@ -699,20 +701,20 @@
   const auto& request = c.request();
   const auto path = http::path_of(request.target);
   if (path == batches::peer_alive_path) {
-    c.respond(answer(keeper.can_own() ? 200 : 503));
+    c.respond(answer(batch_manager.can_own() ? 200 : 503));
   } else if (path.starts_with(batches::peer_ended_path)) {
-    keeper.on_ended(
+    batch_manager.on_ended(
       std::string{ path.substr(batches::peer_ended_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_taken_path)) {
-    keeper.on_taken(
+    batch_manager.on_taken(
       std::string{ path.substr(batches::peer_taken_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_passed_path)) {
-    keeper.on_passed(
+    batch_manager.on_passed(
       c, std::string{ path.substr(batches::peer_passed_path.size()) });
   } else if (path == batches::peer_use_path) {
-    keeper.on_use(c);
+    batch_manager.on_use(c);
   } else if (path == usage::peer_counts_path) {
     meter.on_peer(c);
   } else if (path == store::relay_path) {
@@ -727,7 +729,7 @@
     };
     r.after = value("after");
     r.wait_ms = value("wait");
-    keeper.read(c, r, true);
+    batch_manager.read(c, r, true);
   } else {
     c.respond(answer(404));
   }
@@ -743,7 +745,7 @@
   leave_since = http::now_ms();
   front.leave();
   store.stop_relaying();
-  keeper.leave([this] { keeper_left = true; });
+  batch_manager.leave([this] { keeper_left = true; });
   meter.leave();
   wait_for_end();
 }
@@ -778,7 +780,7 @@
   h.on_reload = [this](const hosted_settings& fresh) {
     store.use_relays(fresh.peers, fresh.peer_rank);
   };
-  keeper.start();
+  batch_manager.start();
   // A server that is back under another id is served from at once, not when
   // the changes of the list have gathered: callers were refused for 0.6 s after
   // all servers of a service had ended and come back.
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -299,7 +299,7 @@
   w.run_until([&] { return w.engine.streaming == 4; });
   cr_assert_eq(w.call(*w.entries[1], "DELETE"), 200);
   w.run_until([&] { return w.engine.streaming == 0; });
-  cr_assert(w.entries[0]->keeper->owned() == 0);
+  cr_assert(w.entries[0]->batch_manager->owned() == 0);
 }
 
 // The owner's watch is behind, as on a starved instance after a restart, while
@@ -439,7 +439,7 @@
                            body),
                  malformed);
   }
-  cr_assert_eq(w.entries[0]->keeper->owned(), 0);
+  cr_assert_eq(w.entries[0]->batch_manager->owned(), 0);
 }
 
 // A planned stop: the batch is given away at once with its text, and no reader
@@ -452,7 +452,7 @@
   w.call(*w.entries[0], "POST", submission(2));
   w.run_until([&] { return w.engine.streaming == 2; });
   bool left = false;
-  w.entries[0]->keeper->leave([&] { left = true; });
+  w.entries[0]->batch_manager->leave([&] { left = true; });
   w.run_until([&] { return left && w.owner() == "entry-1"; });
   check_whole(w.read_whole(*w.entries[1], 2), w.engine);
 }
@@ -470,10 +470,10 @@
   w.run_until([&] { return w.engine.streaming == 2; });
   std::set<std::string> owners;
   bool left = false;
-  w.entries[0]->keeper->leave([&] { left = true; });
+  w.entries[0]->batch_manager->leave([&] { left = true; });
   w.run_until([&] {
     owners.insert(w.owner());
-    return left && w.entries[2]->keeper->owned() == 1;
+    return left && w.entries[2]->batch_manager->owned() == 1;
   });
   cr_assert(owners == (std::set<std::string>{ "entry-0", "entry-2" }));
   check_whole(w.read_whole(*w.entries[1], 2), w.engine);
@@ -492,7 +492,7 @@
   cr_assert_gt(w.store.all("submissions").size(), 2);
   w.run_until([&] { return w.engine.streaming == 2; });
   bool left = false;
-  w.entries[0]->keeper->leave([&] { left = true; });
+  w.entries[0]->batch_manager->leave([&] { left = true; });
   w.run_until([&] { return left && w.owner() == "entry-1"; });
   check_whole(w.read_whole(*w.entries[1], 2), w.engine);
 }
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -64,7 +64,7 @@
   // Started by the tests that need it.
   quarantine::guard guard;
   edge::forwarder forwarder;
-  std::unique_ptr<batches::manager> keeper;
+  std::unique_ptr<batches::manager> batch_manager;
   std::unique_ptr<store::watcher> watcher;
   bool running = true;
   // The largest entries, as it has heard.
@@ -86,7 +86,7 @@
   {
     cr_assert_not(peer.listen("127.0.0.1:0"));
     cr_assert_not(front.listen("127.0.0.1:0"));
-    keeper = std::make_unique<batches::manager>(
+    batch_manager = std::make_unique<batches::manager>(
       batches::keeper_parts{ io,
                              http,
                              store,
@@ -107,12 +107,12 @@
       store::watch_settings{ std::string{ batches::batch_kind }, 1000 },
       store::watch_events{
         [this](std::vector<store::object>&& all) {
-          keeper->on_list(std::move(all));
+          batch_manager->on_list(std::move(all));
         },
-        [this](store::change&& c) { keeper->on_change(std::move(c)); },
+        [this](store::change&& c) { batch_manager->on_change(std::move(c)); },
         {} });
     store.on_regained = [this](std::uint64_t) { watcher->refresh(); };
-    keeper->start();
+    batch_manager->start();
     watcher->start();
   }
 
@@ -129,7 +129,7 @@
         unanswered.push_back(c);
       } else {
         ++alive_answers;
-        c.respond({ keeper->can_own() ? 200 : 503, {}, "" });
+        c.respond({ batch_manager->can_own() ? 200 : 503, {}, "" });
       }
       return;
     }
@@ -144,18 +144,18 @@
       } else if (hides_acceptance) {
         unanswered.push_back(c);
       } else {
-        keeper->on_passed(c, std::string{ id });
+        batch_manager->on_passed(c, std::string{ id });
       }
       return;
     }
     if (path.starts_with(batches::peer_taken_path)) {
-      keeper->on_taken(
+      batch_manager->on_taken(
         std::string{ path.substr(batches::peer_taken_path.size()) });
       c.respond({ 200, {}, "" });
       return;
     }
     if (path.starts_with(batches::peer_ended_path)) {
-      keeper->on_ended(
+      batch_manager->on_ended(
         std::string{ path.substr(batches::peer_ended_path.size()) });
       c.respond({ 200, {}, "" });
       return;
@@ -165,7 +165,7 @@
     r.after = http::parse_number(
                 http::query_value(c.request().target, "after").value_or("0"))
                 .value_or(0);
-    keeper->read(c, r, true);
+    batch_manager->read(c, r, true);
   }
 
   void on_caller(const http::call& c)
@@ -175,12 +175,12 @@
     b.id = std::string{ http::find(r.fields, "Id").value_or("") };
     b.workspace = std::string{ http::find(r.fields, "Workspace").value_or("") };
     if (r.method == "POST") {
-      keeper->accept(c, b.id, b.workspace, http::now_ms() + 1500);
+      batch_manager->accept(c, b.id, b.workspace, http::now_ms() + 1500);
     } else if (r.method == "DELETE") {
-      keeper->end(c, b);
+      batch_manager->end(c, b);
     } else {
       b.after = http::number(r.fields, "After").value_or(0);
-      keeper->read(c, b, false);
+      batch_manager->read(c, b, false);
     }
   }
 
@@ -198,7 +198,7 @@
     a.slots = 8;
     a.versions["m"] = version;
     backends::announce(registry, a);
-    keeper->on_backends();
+    batch_manager->on_backends();
   }
 };
 
