--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -309,7 +309,7 @@
   }
 }
 
-manager::manager(keeper_parts parts)
+manager::manager(manager_dependencies parts)
   : impl_{ std::make_shared<impl>(std::move(parts)) }
 {
 }
--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -36,7 +36,7 @@
 constexpr std::string_view peer_use_path = "/engine-use";
 
 // Dependencies of the batch manager. All referenced objects must outlive it.
-struct keeper_parts
+struct manager_dependencies
 {
   asio::io_context& io;
   http::client& http;
@@ -64,7 +64,7 @@
 class manager
 {
 public:
-  explicit manager(keeper_parts parts);
+  explicit manager(manager_dependencies parts);
   ~manager();
 
   // Starts the periodic checks.
--- a/cactusford/batches/keeper_impl.h
+++ b/cactusford/batches/keeper_impl.h
@@ -61,7 +61,7 @@
 
 struct manager::impl : std::enable_shared_from_this<manager::impl>
 {
-  explicit impl(keeper_parts parts)
+  explicit impl(manager_dependencies parts)
     : p{ std::move(parts) }
     , timer{ p.io }
   {
@@ -209,7 +209,7 @@
                                                 std::uint64_t now);
   void tick();
 
-  keeper_parts p;
+  manager_dependencies p;
   asio::steady_timer timer;
   std::unordered_map<std::string, std::unique_ptr<batch_state>> batches;
   // Submissions that this instance is accepting; it does not need to read them
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -87,20 +87,20 @@
     cr_assert_not(peer.listen("127.0.0.1:0"));
     cr_assert_not(front.listen("127.0.0.1:0"));
     batch_manager = std::make_unique<batches::manager>(
-      batches::keeper_parts{ io,
-                             http,
-                             store,
-                             registry,
-                             dialect,
-                             forwarder,
-                             [this] { return table; },
-                             name,
-                             "127.0.0.1:" + std::to_string(peer.port()),
-                             "a",
-                             keep_ms,
-                             1,
-                             [this] { return others; },
-                             &guard });
+      batches::manager_dependencies{ io,
+                                     http,
+                                     store,
+                                     registry,
+                                     dialect,
+                                     forwarder,
+                                     [this] { return table; },
+                                     name,
+                                     "127.0.0.1:" + std::to_string(peer.port()),
+                                     "a",
+                                     keep_ms,
+                                     1,
+                                     [this] { return others; },
+                                     &guard });
     watcher = std::make_unique<store::watcher>(
       io,
       store,
