--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -120,7 +120,7 @@
   const auto now = http::now_ms();
   http::request r;
   r.method = "POST";
-  r.target = std::string{ peer_passed_path } + a->id;
+  r.target = std::string{ peer_forwarded_path } + a->id;
   r.fields = { { "Host", a->head.host },
                { std::string{ target_header }, a->head.target },
                { std::string{ patience_header },
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -710,9 +710,9 @@
     batch_manager.on_taken(
       std::string{ path.substr(batches::peer_taken_path.size()) });
     c.respond(answer(200));
-  } else if (path.starts_with(batches::peer_passed_path)) {
+  } else if (path.starts_with(batches::peer_forwarded_path)) {
     batch_manager.on_passed(
-      c, std::string{ path.substr(batches::peer_passed_path.size()) });
+      c, std::string{ path.substr(batches::peer_forwarded_path.size()) });
   } else if (path == batches::peer_use_path) {
     batch_manager.on_use(c);
   } else if (path == usage::peer_counts_path) {
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -137,8 +137,8 @@
       store.relay(c);
       return;
     }
-    if (path.starts_with(batches::peer_passed_path)) {
-      const auto id = path.substr(batches::peer_passed_path.size());
+    if (path.starts_with(batches::peer_forwarded_path)) {
+      const auto id = path.substr(batches::peer_forwarded_path.size());
       if (refuses_batches) {
         c.respond({ 421, {}, "" });
       } else if (hides_acceptance) {
