--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -33,7 +33,7 @@
 constexpr std::string_view peer_ended_path = "/ended/";
 constexpr std::string_view peer_taken_path = "/taken/";
 constexpr std::string_view peer_forwarded_path = "/passed/";
-constexpr std::string_view peer_use_path = "/engine-use";
+constexpr std::string_view peer_engine_usage_path = "/engine-use";
 
 // Dependencies of the batch manager. All referenced objects must outlive it.
 struct manager_dependencies
--- a/cactusford/batches/use.cc
+++ b/cactusford/batches/use.cc
@@ -64,7 +64,7 @@
   told_runs = std::move(runs);
   http::request r;
   r.method = "POST";
-  r.target = peer_use_path;
+  r.target = peer_engine_usage_path;
   r.fields = { { "Host", "owner" } };
   r.body = encode(told_use{ p.instance, told_runs }).dump();
   http::exchange_options o;
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -713,7 +713,7 @@
   } else if (path.starts_with(batches::peer_forwarded_path)) {
     batch_manager.on_passed(
       c, std::string{ path.substr(batches::peer_forwarded_path.size()) });
-  } else if (path == batches::peer_use_path) {
+  } else if (path == batches::peer_engine_usage_path) {
     batch_manager.on_use(c);
   } else if (path == usage::peer_counts_path) {
     meter.on_peer(c);
