--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -94,7 +94,7 @@
 
   // Called when another instance forwards a submission, which this instance
   // should accept and run.
-  void on_passed(const http::call& peer, const std::string& id);
+  void on_submission_forwarded(const http::call& peer, const std::string& id);
 
   // Called when another instance reports how many runs it has on each engine.
   void on_use(const http::call& peer);
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -83,7 +83,7 @@
 }
 
 void
-manager::on_passed(const http::call& peer, const std::string& id)
+manager::on_submission_forwarded(const http::call& peer, const std::string& id)
 {
   const auto& fields = peer.request().fields;
   const auto target = http::find(fields, target_header);
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -711,7 +711,7 @@
       std::string{ path.substr(batches::peer_taken_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_forwarded_path)) {
-    batch_manager.on_passed(
+    batch_manager.on_submission_forwarded(
       c, std::string{ path.substr(batches::peer_forwarded_path.size()) });
   } else if (path == batches::peer_engine_usage_path) {
     batch_manager.on_use(c);
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -144,7 +144,7 @@
       } else if (hides_acceptance) {
         unanswered.push_back(c);
       } else {
-        batch_manager->on_passed(c, std::string{ id });
+        batch_manager->on_submission_forwarded(c, std::string{ id });
       }
       return;
     }
