--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -97,7 +97,7 @@
   void on_submission_forwarded(const http::call& peer, const std::string& id);
 
   // Called when another instance reports how many runs it has on each engine.
-  void on_use(const http::call& peer);
+  void on_engine_usage(const http::call& peer);
 
   // Returns false if another instance should run the batches that this one
   // owns.
--- a/cactusford/batches/use.cc
+++ b/cactusford/batches/use.cc
@@ -77,7 +77,7 @@
 }
 
 void
-manager::on_use(const http::call& peer)
+manager::on_engine_usage(const http::call& peer)
 {
   auto t = told_use_from(store::parse_message(peer.request().body));
   if (!t) {
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -714,7 +714,7 @@
     batch_manager.on_submission_forwarded(
       c, std::string{ path.substr(batches::peer_forwarded_path.size()) });
   } else if (path == batches::peer_engine_usage_path) {
-    batch_manager.on_use(c);
+    batch_manager.on_engine_usage(c);
   } else if (path == usage::peer_counts_path) {
     meter.on_peer(c);
   } else if (path == store::relay_path) {
