--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -431,7 +431,7 @@
 }
 
 void
-manager::on_taken(const std::string& id)
+manager::on_takeover(const std::string& id)
 {
   if (auto* b = impl_->known(id)) {
     impl_->doubt(*b, "taken");
--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -90,7 +90,7 @@
   void on_ended(const std::string& id);
 
   // Called when another instance reports that it has taken a batch over.
-  void on_taken(const std::string& id);
+  void on_takeover(const std::string& id);
 
   // Called when another instance forwards a submission, which this instance
   // should accept and run.
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -707,7 +707,7 @@
       std::string{ path.substr(batches::peer_ended_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_taken_path)) {
-    batch_manager.on_taken(
+    batch_manager.on_takeover(
       std::string{ path.substr(batches::peer_taken_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_forwarded_path)) {
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -149,7 +149,7 @@
       return;
     }
     if (path.starts_with(batches::peer_taken_path)) {
-      batch_manager->on_taken(
+      batch_manager->on_takeover(
         std::string{ path.substr(batches::peer_taken_path.size()) });
       c.respond({ 200, {}, "" });
       return;
