--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -416,7 +416,7 @@
 }
 
 void
-manager::on_ended(const std::string& id)
+manager::on_batch_ended(const std::string& id)
 {
   auto* b = impl_->known(id);
   if (b == nullptr || b->stored.ended) {
--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -87,7 +87,7 @@
   void end(const http::call& caller, const edge::batch_request& r);
 
   // Called when another instance reports that a batch has ended.
-  void on_ended(const std::string& id);
+  void on_batch_ended(const std::string& id);
 
   // Called when another instance reports that it has taken a batch over.
   void on_takeover(const std::string& id);
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -703,7 +703,7 @@
   if (path == batches::peer_alive_path) {
     c.respond(answer(batch_manager.can_own() ? 200 : 503));
   } else if (path.starts_with(batches::peer_ended_path)) {
-    batch_manager.on_ended(
+    batch_manager.on_batch_ended(
       std::string{ path.substr(batches::peer_ended_path.size()) });
     c.respond(answer(200));
   } else if (path.starts_with(batches::peer_taken_path)) {
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -155,7 +155,7 @@
       return;
     }
     if (path.starts_with(batches::peer_ended_path)) {
-      batch_manager->on_ended(
+      batch_manager->on_batch_ended(
         std::string{ path.substr(batches::peer_ended_path.size()) });
       c.respond({ 200, {}, "" });
       return;
