--- a/cactusford/batches/keeper_impl.h
+++ b/cactusford/batches/keeper_impl.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cactusford/batches/engine_use.h"
-#include "cactusford/batches/keeper.h"
+#include "cactusford/batches/manager.h"
 #include "cactusford/batches/placement.h"
 #include "cactusford/batches/progress.h"
 #include "cactusford/batches/schedule.h"
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -1,4 +1,4 @@
-#include "cactusford/batches/keeper.h"
+#include "cactusford/batches/manager.h"
 #include "cactusford/edge/credentials.h"
 #include "cactusford/edge/denial.h"
 #include "cactusford/edge/forward.h"
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -2,7 +2,7 @@
 // its own event loop, so that one can be paused and woken.
 #pragma once
 
-#include "cactusford/batches/keeper.h"
+#include "cactusford/batches/manager.h"
 #include "cactusford/http/socket.h"
 #include "cactusford/store/watcher.h"
 #include "standins/object_store.h"
