--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -1,4 +1,4 @@
-#include "cactusford/batches/keeper_impl.h"
+#include "cactusford/batches/manager_impl.h"
 #include "cactusford/batches/parts.h"
 #include "cactusford/http/socket.h"
 #include "cactusford/process/line_log.h"
