--- a/cactusford/batches/engine_usage-test.cc
+++ b/cactusford/batches/engine_usage-test.cc
@@ -64,15 +64,15 @@
 
 // One owner has sixty items running when another begins a step. Without its
 // word the other sends eighty to engines that have places for twenty-four.
-Test(engine_use, owners_leave_each_others_places_alone)
+Test(engine_usage, owners_respect_each_others_slots)
 {
   constexpr std::uint64_t now = 10'000;
   auto first = fourteen_engines();
   cr_assert_eq(place_items(first, 60, now), 60);
   auto second = fourteen_engines();
-  use_of_others told;
-  note(told, { "first", runs_of(first) }, now);
-  backends::note_told(second, sum(told, now), now);
+  peer_engine_usage usage;
+  record_report(usage, { "first", runs_of(first) }, now);
+  backends::note_told(second, total_runs(usage, now), now);
   cr_assert_eq(place_items(second, 80, now), engines * slots - 60);
   SECTION("no engine has more than it can run")
   {
@@ -84,15 +84,15 @@
   {
     constexpr std::uint64_t later = now + 2000;
     auto third = fourteen_engines();
-    cr_assert(sum(told, later).empty());
-    backends::note_told(third, sum(told, later), later);
+    cr_assert(total_runs(usage, later).empty());
+    backends::note_told(third, total_runs(usage, later), later);
     cr_assert_eq(place_items(third, 100, later), engines * slots);
   }
 }
 
 // Callers that nobody tells of run on the same engines: an engine's own word
 // counts them, and those that were told are not counted twice.
-Test(engine_use, an_engines_own_word_counts_beside_it)
+Test(engine_usage, adds_runs_that_only_the_engine_reports)
 {
   constexpr std::uint64_t now = 10'000;
   auto r = fourteen_engines();
@@ -103,13 +103,14 @@
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
 
-Test(engine_use, messages_are_read_or_left_out)
+Test(engine_usage, rejects_malformed_reports)
 {
-  const told_use t{ "a", { { "e1", 3 } } };
-  cr_assert(*told_use_from(encode(t)) == t);
+  const engine_usage_report t{ "a", { { "e1", 3 } } };
+  cr_assert(*decode_engine_usage_report(encode(t)) == t);
   using nlohmann::json;
-  cr_assert_not(told_use_from(json{ { "instance", "a" } }).has_value());
   cr_assert_not(
-    told_use_from(json{ { "instance", "a" }, { "runs", { { "e", -1 } } } })
-      .has_value());
+    decode_engine_usage_report(json{ { "instance", "a" } }).has_value());
+  cr_assert_not(decode_engine_usage_report(
+                  json{ { "instance", "a" }, { "runs", { { "e", -1 } } } })
+                  .has_value());
 }
--- a/cactusford/batches/engine_usage.cc
+++ b/cactusford/batches/engine_usage.cc
@@ -8,32 +8,32 @@
 
 // Owners report several times a second. If no report has arrived for longer
 // than this, the owner has stopped or is unreachable.
-constexpr std::uint64_t word_age_limit_ms = 800;
+constexpr std::uint64_t report_max_age_ms = 800;
 
 // Upper limit for the number of engines in a report. A larger message is
 // malformed.
-constexpr std::size_t most_engines = 20000;
+constexpr std::size_t max_engines = 20000;
 
 } // namespace
 
 nlohmann::json
-encode(const told_use& t)
+encode(const engine_usage_report& report)
 {
   auto runs = nlohmann::json::object();
-  for (const auto& [engine, count] : t.runs) {
+  for (const auto& [engine, count] : report.runs) {
     runs[engine] = count;
   }
-  return { { "instance", t.instance }, { "runs", std::move(runs) } };
+  return { { "instance", report.instance }, { "runs", std::move(runs) } };
 }
 
-store::decoded<told_use>
-told_use_from(const nlohmann::json& j)
+store::decoded<engine_usage_report>
+decode_engine_usage_report(const nlohmann::json& j)
 {
   return store::read_shape([&] {
-    told_use t;
-    t.instance = store::text_field(j, "instance");
+    engine_usage_report report;
+    report.instance = store::text_field(j, "instance");
     const auto& runs = store::field(j, "runs");
-    if (!runs.is_object() || runs.size() > most_engines) {
+    if (!runs.is_object() || runs.size() > max_engines) {
       throw store::field_error{ { "runs", "no runs by engine" } };
     }
     for (const auto& [engine, count] : runs.items()) {
@@ -41,30 +41,32 @@
       if (n > std::numeric_limits<std::uint32_t>::max()) {
         throw store::field_error{ { engine, "too large" } };
       }
-      t.runs[engine] = static_cast<std::uint32_t>(n);
+      report.runs[engine] = static_cast<std::uint32_t>(n);
     }
-    return t;
+    return report;
   });
 }
 
 void
-note(use_of_others& u, told_use t, std::uint64_t now_ms)
+record_report(peer_engine_usage& usage,
+              engine_usage_report report,
+              std::uint64_t now_ms)
 {
-  u.by_instance[t.instance] = { std::move(t.runs), now_ms };
-  std::erase_if(u.by_instance, [now_ms](const auto& e) {
-    return now_ms - e.second.at_ms > word_age_limit_ms;
+  usage.by_instance[report.instance] = { std::move(report.runs), now_ms };
+  std::erase_if(usage.by_instance, [now_ms](const auto& e) {
+    return now_ms - e.second.at_ms > report_max_age_ms;
   });
 }
 
 engine_runs
-sum(const use_of_others& u, std::uint64_t now_ms)
+total_runs(const peer_engine_usage& usage, std::uint64_t now_ms)
 {
   engine_runs all;
-  for (const auto& [instance, h] : u.by_instance) {
-    if (now_ms - h.at_ms > word_age_limit_ms) {
+  for (const auto& [instance, received] : usage.by_instance) {
+    if (now_ms - received.at_ms > report_max_age_ms) {
       continue;
     }
-    for (const auto& [engine, count] : h.runs) {
+    for (const auto& [engine, count] : received.runs) {
       all[engine] += count;
     }
   }
--- a/cactusford/batches/engine_usage.h
+++ b/cactusford/batches/engine_usage.h
@@ -22,40 +22,45 @@
 // Number of runs by engine id.
 using engine_runs = std::map<std::string, std::uint32_t>;
 
-struct told_use
+struct engine_usage_report
 {
   std::string instance;
   engine_runs runs;
 
-  friend bool operator==(const told_use&, const told_use&) = default;
+  friend bool operator==(const engine_usage_report&,
+                         const engine_usage_report&) = default;
 };
 
 nlohmann::json
-encode(const told_use& t);
+encode(const engine_usage_report& report);
 
-store::decoded<told_use>
-told_use_from(const nlohmann::json& j);
+store::decoded<engine_usage_report>
+decode_engine_usage_report(const nlohmann::json& j);
 
 // The latest reports of the other instances.
-struct use_of_others
+struct peer_engine_usage
 {
-  struct heard
+  struct received_report
   {
     engine_runs runs;
     std::uint64_t at_ms = 0;
 
-    friend bool operator==(const heard&, const heard&) = default;
+    friend bool operator==(const received_report&,
+                           const received_report&) = default;
   };
-  std::map<std::string, heard> by_instance;
+  std::map<std::string, received_report> by_instance;
 
-  friend bool operator==(const use_of_others&, const use_of_others&) = default;
+  friend bool operator==(const peer_engine_usage&,
+                         const peer_engine_usage&) = default;
 };
 
 void
-note(use_of_others& u, told_use t, std::uint64_t now_ms);
+record_report(peer_engine_usage& usage,
+              engine_usage_report report,
+              std::uint64_t now_ms);
 
 // Returns the number of runs by engine, summed over all recent reports.
 engine_runs
-sum(const use_of_others& u, std::uint64_t now_ms);
+total_runs(const peer_engine_usage& usage, std::uint64_t now_ms);
 
 } // namespace cactusford::batches
--- a/cactusford/batches/engine_usage_reports.cc
+++ b/cactusford/batches/engine_usage_reports.cc
@@ -9,12 +9,12 @@
 // Minimum time between two reports of one owner to another. With a longer
 // interval, runs of another owner reach the same engines before a change is
 // reported; with a shorter one, each change costs a message of its own.
-constexpr std::uint64_t tell_ms = 100;
+constexpr std::uint64_t report_interval_ms = 100;
 
 // Unchanged usage is reported again before the last report expires.
-constexpr std::uint64_t tell_again_ms = 400;
+constexpr std::uint64_t report_refresh_ms = 400;
 
-constexpr std::uint64_t tell_timeout_ms = 300;
+constexpr std::uint64_t report_timeout_ms = 300;
 
 } // namespace
 
@@ -41,7 +41,7 @@
   std::set<std::string> addresses;
   for (const auto& [id, b] : batches) {
     const auto& address = b->stored.owner_address;
-    if (b->is_open() && !address.empty() && address != p.address) {
+    if (b->is_open() && !address.empty() && address != deps.address) {
       addresses.insert(address);
     }
   }
@@ -49,47 +49,50 @@
 }
 
 void
-manager::impl::tell_use(std::uint64_t now)
+manager::impl::report_engine_usage(std::uint64_t now)
 {
-  if (now - told_ms < tell_ms) {
+  if (now - last_report_ms < report_interval_ms) {
     return;
   }
-  const auto to = other_owners();
+  const auto recipients = other_owners();
   auto runs = own_runs();
-  const bool is_same = runs == told_runs && now - told_ms < tell_again_ms;
-  if (to.empty() || is_same) {
+  const bool is_unchanged =
+    runs == reported_runs && now - last_report_ms < report_refresh_ms;
+  if (recipients.empty() || is_unchanged) {
     return;
   }
-  told_ms = now;
-  told_runs = std::move(runs);
+  last_report_ms = now;
+  reported_runs = std::move(runs);
   http::request r;
   r.method = "POST";
   r.target = peer_engine_usage_path;
   r.fields = { { "Host", "owner" } };
-  r.body = encode(told_use{ p.instance, told_runs }).dump();
+  r.body = encode(engine_usage_report{ deps.instance, reported_runs }).dump();
   http::exchange_options o;
-  o.timeout_ms = tell_timeout_ms;
-  o.connect_timeout_ms = tell_timeout_ms / 2;
-  for (const auto& address : to) {
+  o.timeout_ms = report_timeout_ms;
+  o.connect_timeout_ms = report_timeout_ms / 2;
+  for (const auto& address : recipients) {
     // A lost report is replaced by the next one.
-    p.http.fetch(address, r, o, [](http::end_state, http::response&&) {});
+    deps.http.fetch(address, r, o, [](http::end_state, http::response&&) {});
   }
 }
 
 void
 manager::on_engine_usage(const http::call& peer)
 {
-  auto t = told_use_from(store::parse_message(peer.request().body));
-  if (!t) {
+  auto report =
+    decode_engine_usage_report(store::parse_message(peer.request().body));
+  if (!report) {
     process::log_line(timeline::event{ "engine_use_unreadable" }
-                        .with("field", t.fault.field)
-                        .with("why", t.fault.what));
+                        .with("field", report.fault.field)
+                        .with("why", report.fault.what));
     peer.respond(answer(400));
     return;
   }
   const auto now = http::now_ms();
-  note(impl_->others, std::move(*t), now);
-  backends::note_told(impl_->p.registry, sum(impl_->others, now), now);
+  record_report(impl_->peer_usage, std::move(*report), now);
+  backends::note_told(
+    impl_->deps.registry, total_runs(impl_->peer_usage, now), now);
   peer.respond(answer(200));
 }
 
--- a/cactusford/batches/event_reader.cc
+++ b/cactusford/batches/event_reader.cc
@@ -11,13 +11,13 @@
 constexpr std::string_view separator = "\n\n";
 
 std::string_view
-without_return(std::string_view line)
+without_carriage_return(std::string_view line)
 {
   return line.ends_with('\r') ? line.substr(0, line.size() - 1) : line;
 }
 
 std::string_view
-value_of(std::string_view line, std::size_t colon)
+field_value(std::string_view line, std::size_t colon)
 {
   auto value = line.substr(colon + 1);
   if (value.starts_with(' ')) {
@@ -37,18 +37,18 @@
 event_reader::feed(std::string_view bytes)
 {
   std::vector<stream_event> events;
-  rest_ += bytes;
+  buffer_ += bytes;
   std::size_t start = 0;
   while (true) {
-    const auto end = rest_.find(separator, start);
+    const auto end = buffer_.find(separator, start);
     if (end == std::string::npos) {
       break;
     }
     events.push_back(
-      parse(std::string_view{ rest_ }.substr(start, end - start)));
+      parse(std::string_view{ buffer_ }.substr(start, end - start)));
     start = end + separator.size();
   }
-  rest_.erase(0, start);
+  buffer_.erase(0, start);
   return events;
 }
 
@@ -60,7 +60,7 @@
   bool has_data = false;
   while (!block.empty()) {
     const auto end = std::min(block.find('\n'), block.size());
-    const auto line = without_return(block.substr(0, end));
+    const auto line = without_carriage_return(block.substr(0, end));
     block.remove_prefix(std::min(end + 1, block.size()));
     const auto colon = line.find(':');
     if (colon == std::string_view::npos) {
@@ -68,7 +68,7 @@
       continue;
     }
     const auto key = line.substr(0, colon);
-    const auto value = value_of(line, colon);
+    const auto value = field_value(line, colon);
     if (key == "id") {
       const auto id = http::parse_number(value);
       has_id = id.has_value();
@@ -92,10 +92,10 @@
     return false;
   }
   t.version = e.version.value_or(t.version);
-  const bool known =
+  const bool is_known_version =
     std::find(t.versions.begin(), t.versions.end(), t.version) !=
     t.versions.end();
-  if (!known) {
+  if (!is_known_version) {
     t.versions.push_back(t.version);
   }
   if (t.events > 0) {
--- a/cactusford/batches/event_reader.h
+++ b/cactusford/batches/event_reader.h
@@ -32,7 +32,7 @@
   std::vector<stream_event> feed(std::string_view bytes);
 
   // True if the buffer holds the beginning of an incomplete event.
-  bool has_partial() const { return !rest_.empty(); }
+  bool has_partial() const { return !buffer_.empty(); }
 
   // True if an event without an id or with a malformed line was read.
   bool is_malformed() const { return malformed_; }
@@ -41,7 +41,7 @@
   stream_event parse(std::string_view block);
 
   std::string version_line_;
-  std::string rest_;
+  std::string buffer_;
   bool malformed_ = false;
 };
 
--- a/cactusford/batches/ledger-test.cc
+++ b/cactusford/batches/ledger-test.cc
@@ -43,7 +43,7 @@
   add_result(l, result_of("a"), 10);
   const auto chunk = begin_chunk(l, 1000);
   cr_assert_not(is_settled(l));
-  doubt_chunk(l);
+  mark_chunk_unknown(l);
   cr_assert_not(is_settled(l));
   SECTION("until some chunk stands at its number")
   {
--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -68,10 +68,11 @@
 adopt_chunk(ledger& l, std::vector<item_result> results)
 {
   l.writing = 0;
-  l.unsettled = false;
+  l.outcome_unknown = false;
   ++l.chunks;
   for (auto& r : results) {
-    std::erase_if(l.pending, [&](const auto& p) { return p.id == r.id; });
+    std::erase_if(l.pending,
+                  [&](const auto& pending) { return pending.id == r.id; });
     if (!is_listed(l, r.id)) {
       l.ids.insert(r.id);
       l.listed.push_back(std::move(r));
@@ -86,16 +87,16 @@
 }
 
 void
-doubt_chunk(ledger& l)
+mark_chunk_unknown(ledger& l)
 {
   l.writing = 0;
-  l.unsettled = true;
+  l.outcome_unknown = true;
 }
 
 bool
 is_settled(const ledger& l)
 {
-  return l.writing == 0 && !l.unsettled;
+  return l.writing == 0 && !l.outcome_unknown;
 }
 
 result_page
@@ -104,19 +105,19 @@
         std::uint64_t after,
         std::size_t max_bytes)
 {
-  result_page p;
-  p.total = total;
-  p.next = after;
+  result_page page;
+  page.total = total;
+  page.next = after;
   std::size_t bytes = 0;
   for (auto at = after; at < l.listed.size(); ++at) {
     bytes += size_of(l.listed[at]);
-    if (!p.results.empty() && bytes > max_bytes) {
+    if (!page.results.empty() && bytes > max_bytes) {
       break;
     }
-    p.results.push_back(l.listed[at]);
-    ++p.next;
+    page.results.push_back(l.listed[at]);
+    ++page.next;
   }
-  return p;
+  return page;
 }
 
 std::string
--- a/cactusford/batches/ledger.h
+++ b/cactusford/batches/ledger.h
@@ -42,7 +42,7 @@
   std::size_t writing = 0;
   // A write of the next chunk got no answer: it may have been applied, or may
   // still be applied later.
-  bool unsettled = false;
+  bool outcome_unknown = false;
   std::unordered_set<std::string> ids;
 };
 
@@ -75,7 +75,7 @@
 // Records that the outcome of the write is unknown; it may still be applied
 // later.
 void
-doubt_chunk(ledger& l);
+mark_chunk_unknown(ledger& l);
 
 // Returns true if no write of this owner can be in the store without being
 // listed here.
--- a/cactusford/batches/manager.cc
+++ b/cactusford/batches/manager.cc
@@ -14,17 +14,17 @@
 
 // An owner that has not answered for this long, which is four probes, is
 // presumed dead. A mistaken takeover costs only duplicate runs.
-constexpr std::uint64_t owner_silence_ms = 1300;
+constexpr std::uint64_t silent_owner_timeout_ms = 1300;
 
 // An owner that refuses connections has crashed. It may restart at once, but
 // then has lost its in-memory state.
-constexpr std::uint64_t owner_refused_ms = 500;
+constexpr std::uint64_t refused_owner_timeout_ms = 500;
 
 // A takeover requires a write to the store, so an instance starts one only if
 // it has had an answer from the store within this time. Watches bring an answer
 // every second. While the store is unavailable to everyone, batches stay with
 // their owners, whose memory holds the most recent text.
-constexpr std::uint64_t store_answer_age_ms = 1300;
+constexpr std::uint64_t store_answer_max_age_ms = 1300;
 
 // Takeovers by several instances are spread over this time, so that the first
 // write succeeds before the others are attempted.
@@ -45,35 +45,35 @@
 }
 
 http::response
-come_back(const edge::dialect& d)
+retry_later(const edge::dialect& d)
 {
   auto r = answer(503);
-  r.fields.push_back({ d.headers.retry_after, std::string{ come_back_s } });
+  r.fields.push_back({ d.headers.retry_after, std::string{ retry_after_s } });
   return r;
 }
 
 bool
-is_of(const stored_batch& b, const std::string& workspace)
+is_accessible_to(const stored_batch& b, const std::string& workspace)
 {
   return b.workspace.empty() || b.workspace == workspace;
 }
 
 batch_state*
-manager::impl::known(const std::string& id)
+manager::impl::find_batch(const std::string& id)
 {
   const auto found = batches.find(id);
   return found == batches.end() ? nullptr : found->second.get();
 }
 
 batch_state*
-manager::impl::learn(const store::object& o)
+manager::impl::apply_stored_batch(const store::object& o)
 {
   auto s = decode_batch(o.name, o.revision, o.spec, o.status);
   if (!s) {
     store::log_unreadable(batch_kind, { o.name, s.fault });
     return nullptr;
   }
-  if (auto* b = known(o.name)) {
+  if (auto* b = find_batch(o.name)) {
     update(*b, std::move(*s));
     return b;
   }
@@ -83,22 +83,23 @@
   b->stored = std::move(*s);
   b->owner_since_ms = http::now_ms();
   b->due_ms = due_of(*b);
-  note_owner(*b);
-  const auto mine = accepting.find(o.name);
-  if (mine != accepting.end()) {
-    b->set(std::move(mine->second->submission), p.dialect.version_line);
+  add_owner_as_relay(*b);
+  const auto being_accepted = accepting.find(o.name);
+  if (being_accepted != accepting.end()) {
+    b->set(std::move(being_accepted->second->submission),
+           deps.dialect.version_line);
   }
-  own_ours(*b, false);
+  own_if_assigned(*b, false);
   return b;
 }
 
 // An instance that owns batches may relay this instance's calls to the store.
 void
-manager::impl::note_owner(const batch_state& b)
+manager::impl::add_owner_as_relay(const batch_state& b)
 {
   const auto& address = b.stored.owner_address;
-  if (b.is_open() && !address.empty() && address != p.address) {
-    p.store.learn_relay(address);
+  if (b.is_open() && !address.empty() && address != deps.address) {
+    deps.store.learn_relay(address);
   }
 }
 
@@ -106,11 +107,11 @@
 // batch that is still being accepted starts when its write is acknowledged,
 // because only then is it known to have no listed results.
 void
-manager::impl::own_ours(batch_state& b, bool is_fresh)
+manager::impl::own_if_assigned(batch_state& b, bool is_fresh)
 {
-  const bool ours = b.is_open() && b.stored.owner == p.instance;
+  const bool ours = b.is_open() && b.stored.owner == deps.instance;
   if (ours && !b.owned && !accepting.contains(b.stored.id)) {
-    own(b, is_fresh);
+    take_ownership(b, is_fresh);
   }
 }
 
@@ -119,7 +120,7 @@
 std::shared_ptr<const routes::route>
 manager::impl::route_to(const std::string& host, const std::string& path) const
 {
-  const auto table = p.table();
+  const auto table = deps.table();
   const auto* route = table ? routes::match(*table, host, path) : nullptr;
   return { table, route };
 }
@@ -150,7 +151,7 @@
   b.stored = std::move(s);
   if (new_owner) {
     b.owner_since_ms = http::now_ms();
-    note_owner(b);
+    add_owner_as_relay(b);
     process::log_line(timeline::event{ "batch_owner" }
                         .with("batch", b.stored.id)
                         .with("owner", b.stored.owner)
@@ -161,10 +162,10 @@
                         .with("batch", b.stored.id)
                         .with("listed", b.ledger.listed.size()));
     close(b);
-  } else if (b.owned && b.stored.owner != p.instance) {
-    disown(b, "other_owner");
+  } else if (b.owned && b.stored.owner != deps.instance) {
+    drop_ownership(b, "other_owner");
   } else {
-    own_ours(b, false);
+    own_if_assigned(b, false);
   }
 }
 
@@ -173,19 +174,19 @@
 void
 manager::impl::close(batch_state& b)
 {
-  remember(b);
-  disown(b, "ended");
-  if (b.want_submission.empty()) {
-    b.release();
+  save_texts_for_reuse(b);
+  drop_ownership(b, "ended");
+  if (b.submission_waiters.empty()) {
+    b.drop_submission();
   }
 }
 
 void
 manager::impl::forget(const std::string& id)
 {
-  if (auto* b = known(id)) {
-    disown(*b, "removed");
-    end_read(id, false);
+  if (auto* b = find_batch(id)) {
+    drop_ownership(*b, "removed");
+    finish_submission_read(id, false);
     batches.erase(id);
   }
 }
@@ -197,7 +198,7 @@
 manager::impl::lookup(const std::string& id,
                       std::function<void(batch_state*, bool)> done)
 {
-  if (auto* b = known(id)) {
+  if (auto* b = find_batch(id)) {
     done(b, true);
     return;
   }
@@ -205,22 +206,23 @@
   c.op = store::operation::get;
   c.kind = batch_kind;
   c.name = id;
-  p.store.perform(c, [self = shared_from_this(), id, done](store::reply&& r) {
-    if (r.what == store::verdict::done && !r.items.empty()) {
-      done(self->learn(r.items.front()), true);
-      return;
-    }
-    done(self->known(id), r.what == store::verdict::missing);
-  });
+  deps.store.perform(
+    c, [self = shared_from_this(), id, done](store::reply&& r) {
+      if (r.what == store::verdict::done && !r.items.empty()) {
+        done(self->apply_stored_batch(r.items.front()), true);
+        return;
+      }
+      done(self->find_batch(id), r.what == store::verdict::missing);
+    });
 }
 
 // Returns the reason to take the batch over, or nothing while its owner is
 // believed to be alive.
 std::optional<std::string_view>
-manager::impl::owner_silence(const batch_state& b, std::uint64_t now)
+manager::impl::takeover_reason(const batch_state& b, std::uint64_t now)
 {
   const auto spread =
-    std::hash<std::string>{}(p.instance + b.stored.id) % takeover_spread_ms;
+    std::hash<std::string>{}(deps.instance + b.stored.id) % takeover_spread_ms;
   if (b.stored.owner.empty()) {
     return now - b.owner_since_ms > spread
              ? std::optional<std::string_view>{ "released" }
@@ -231,27 +233,29 @@
   // cut off alone or affected by an outage for everyone. Its silence is counted
   // from when the store became reachable for this instance again, so that it
   // gets the usual time to reconnect.
-  const bool lives = now - owner_cut_off[address] <= owner_silence_ms;
-  const auto seen = std::max({ owner_seen[address],
+  const bool is_alive =
+    now - owner_cut_off_at_ms[address] <= silent_owner_timeout_ms;
+  const auto seen = std::max({ owner_seen_at_ms[address],
                                b.owner_since_ms,
-                               lives ? store_there_since_ms : 0 });
-  const auto refused = owner_refused[address];
-  if (refused > seen && now - seen > owner_refused_ms + spread) {
+                               is_alive ? store_reachable_since_ms : 0 });
+  const auto refused = owner_refused_at_ms[address];
+  if (refused > seen && now - seen > refused_owner_timeout_ms + spread) {
     return "owner_refused";
   }
-  return now - seen > owner_silence_ms + spread
+  return now - seen > silent_owner_timeout_ms + spread
            ? std::optional<std::string_view>{ "owner_silent" }
            : std::nullopt;
 }
 
 void
-manager::impl::note_store(std::uint64_t now)
+manager::impl::track_store(std::uint64_t now)
 {
-  const bool there = now - p.store.last_answer_ms() <= store_answer_age_ms;
-  if (!there) {
-    store_there_since_ms = 0;
-  } else if (store_there_since_ms == 0) {
-    store_there_since_ms = now;
+  const bool is_reachable =
+    now - deps.store.last_answer_ms() <= store_answer_max_age_ms;
+  if (!is_reachable) {
+    store_reachable_since_ms = 0;
+  } else if (store_reachable_since_ms == 0) {
+    store_reachable_since_ms = now;
   }
 }
 
@@ -265,47 +269,47 @@
     }
   });
   const auto now = http::now_ms();
-  note_alive(now);
-  note_store(now);
-  ask_owners(now);
+  check_for_pause(now);
+  track_store(now);
+  probe_owners(now);
   remove_expired(now);
-  leave_ended_lives();
+  restart_runs_of_ended_incarnations();
   bool waiting = false;
   for (auto& [id, b] : batches) {
     if (!b->readers.empty()) {
       answer_readers(*b, now);
     }
-    if (b->owned && b->doubted) {
-      verify(*b);
+    if (b->owned && b->owner_unconfirmed) {
+      confirm_owner(*b);
     }
-    if (b->owned && b->load_again) {
-      b->load_again = false;
-      own(*b, false);
+    if (b->owned && b->load_pending) {
+      b->load_pending = false;
+      take_ownership(*b, false);
     }
     if (b->owned && b->loaded) {
-      give_up_late(*b);
-      watch_runs(*b, now);
-      maybe_write(*b, now);
-      maybe_save(*b, now);
+      give_up_expired_items(*b);
+      check_runs(*b, now);
+      write_results_if_due(*b, now);
+      save_progress_if_due(*b, now);
       waiting = true;
       continue;
     }
     if (b->owned || !b->is_open() || leaving) {
       continue;
     }
-    if (b->stored.owner == p.instance) {
-      own_ours(*b, false);
+    if (b->stored.owner == deps.instance) {
+      own_if_assigned(*b, false);
       continue;
     }
-    const auto silent = owner_silence(*b, now);
-    if (silent && store_there_since_ms != 0) {
-      take_over(*b, *silent);
+    const auto reason = takeover_reason(*b, now);
+    if (reason && store_reachable_since_ms != 0) {
+      take_over(*b, *reason);
     }
   }
-  start_scores();
+  start_queued_scores();
   if (waiting) {
-    plan();
-    tell_use(now);
+    dispatch();
+    report_engine_usage(now);
   }
 }
 
@@ -332,20 +336,21 @@
 {
   impl_->lookup(
     r.id, [self = impl_, caller, r, from_peer](batch_state* b, bool sure) {
-      if (b != nullptr && !from_peer && !is_of(b->stored, r.workspace)) {
+      if (b != nullptr && !from_peer &&
+          !is_accessible_to(b->stored, r.workspace)) {
         caller.respond(answer(404));
         return;
       }
       if (b == nullptr) {
         caller.respond(sure && !from_peer ? answer(404)
-                                          : come_back(self->p.dialect));
+                                          : retry_later(self->deps.dialect));
         return;
       }
       const auto now = http::now_ms();
-      self->note_alive(now);
+      self->check_for_pause(now);
       if (b->owned && b->loaded) {
         b->readers.push_back({ caller, r.after, now + r.wait_ms });
-        self->maybe_write(*b, now);
+        self->write_results_if_due(*b, now);
         self->answer_readers(*b, now);
         return;
       }
@@ -353,8 +358,8 @@
       if (b->complete || (has_more && !from_peer)) {
         self->respond_page(caller, *b, r.after);
       } else if (from_peer) {
-        caller.respond(come_back(self->p.dialect));
-      } else if (b->stored.owner != self->p.instance &&
+        caller.respond(retry_later(self->deps.dialect));
+      } else if (b->stored.owner != self->deps.instance &&
                  !b->stored.owner_address.empty()) {
         self->read_from_owner(caller, *b, r);
       } else {
@@ -367,14 +372,14 @@
 manager::read_item(const http::call& caller, const edge::batch_request& r)
 {
   impl_->lookup(r.id, [self = impl_, caller, r](batch_state* b, bool sure) {
-    if (b == nullptr || !is_of(b->stored, r.workspace)) {
-      caller.respond(sure ? answer(404) : come_back(self->p.dialect));
+    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
       return;
     }
-    self->with_submission(*b, [self, caller, r](bool ok) {
-      const auto* read = self->known(r.id);
+    self->load_submission(*b, [self, caller, r](bool ok) {
+      const auto* read = self->find_batch(r.id);
       if (!ok || read == nullptr) {
-        caller.respond(come_back(self->p.dialect));
+        caller.respond(retry_later(self->deps.dialect));
         return;
       }
       const auto* item = read->find_item(r.item);
@@ -396,8 +401,8 @@
 {
   const auto& id = r.id;
   impl_->lookup(id, [self = impl_, caller, id, r](batch_state* b, bool sure) {
-    if (b == nullptr || !is_of(b->stored, r.workspace)) {
-      caller.respond(sure ? answer(404) : come_back(self->p.dialect));
+    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
       return;
     }
     self->write_status(
@@ -406,10 +411,10 @@
       [self, caller, id](store::verdict v) {
         const bool done = v == store::verdict::done;
         if (done) {
-          self->tell(
-            self->known(id)->stored.owner_address, peer_ended_path, id);
+          self->notify_peer(
+            self->find_batch(id)->stored.owner_address, peer_ended_path, id);
         }
-        caller.respond(done ? answer(200) : come_back(self->p.dialect));
+        caller.respond(done ? answer(200) : retry_later(self->deps.dialect));
       },
       4);
   });
@@ -418,7 +423,7 @@
 void
 manager::on_batch_ended(const std::string& id)
 {
-  auto* b = impl_->known(id);
+  auto* b = impl_->find_batch(id);
   if (b == nullptr || b->stored.ended) {
     return;
   }
@@ -433,8 +438,8 @@
 void
 manager::on_takeover(const std::string& id)
 {
-  if (auto* b = impl_->known(id)) {
-    impl_->doubt(*b, "taken");
+  if (auto* b = impl_->find_batch(id)) {
+    impl_->mark_unconfirmed(*b, "taken");
   }
 }
 
@@ -442,26 +447,26 @@
 bool
 manager::can_own() const
 {
-  return !impl_->leaving && !impl_->p.store.is_cut_off(http::now_ms());
+  return !impl_->leaving && !impl_->deps.store.is_cut_off(http::now_ms());
 }
 
 void
 manager::on_list(std::vector<store::object>&& all)
 {
   std::vector<std::string> gone;
-  for (const auto& known : impl_->batches) {
+  for (const auto& entry : impl_->batches) {
     const bool listed = std::any_of(all.begin(), all.end(), [&](const auto& o) {
-      return o.name == known.first;
+      return o.name == entry.first;
     });
-    if (!listed && !known.second->owned) {
-      gone.push_back(known.first);
+    if (!listed && !entry.second->owned) {
+      gone.push_back(entry.first);
     }
   }
   for (const auto& id : gone) {
     impl_->forget(id);
   }
   for (const auto& o : all) {
-    impl_->learn(o);
+    impl_->apply_stored_batch(o);
   }
 }
 
@@ -471,15 +476,15 @@
   if (c.deleted) {
     impl_->forget(c.value.name);
   } else {
-    impl_->learn(c.value);
+    impl_->apply_stored_batch(c.value);
   }
 }
 
 void
 manager::on_backends()
 {
-  impl_->leave_ended_lives();
-  impl_->plan_soon();
+  impl_->restart_runs_of_ended_incarnations();
+  impl_->schedule_dispatch();
 }
 
 std::size_t
@@ -510,14 +515,14 @@
   }
   *left += ids.size();
   for (const auto& id : ids) {
-    const auto& stored = impl_->known(id)->stored;
+    const auto& stored = impl_->find_batch(id)->stored;
     const auto successor =
-      choose_successor(impl_->view_of(stored.host, stored.target))
+      choose_successor(impl_->placement_view_for(stored.host, stored.target))
         .value_or(membership::member{});
     process::log_line(timeline::event{ "batch_handed_over" }
                         .with("batch", id)
                         .with("to", successor.instance));
-    const auto release = [self = impl_, id, successor, one_done] {
+    const auto hand_over = [self = impl_, id, successor, one_done] {
       self->write_status(
         id,
         [successor](stored_batch& s) {
@@ -528,7 +533,7 @@
         [one_done](store::verdict) { one_done(); },
         2);
     };
-    impl_->save_progress(*impl_->known(id), release);
+    impl_->save_progress(*impl_->find_batch(id), hand_over);
   }
   one_done();
 }
--- a/cactusford/batches/manager.h
+++ b/cactusford/batches/manager.h
@@ -50,7 +50,7 @@
   std::string address;
   std::string data_centre;
   // How long a batch stays readable after it was accepted.
-  std::uint64_t keep_ms = 120000;
+  std::uint64_t retention_ms = 120000;
   // This instance's CPU share, in cores.
   double capacity = 1;
   // Returns the largest known entries, in descending order of capacity.
--- a/cactusford/batches/manager_impl.h
+++ b/cactusford/batches/manager_impl.h
@@ -21,7 +21,7 @@
 
 // Retry delay sent to a refused caller. The store usually answers again within
 // a second.
-constexpr std::string_view come_back_s = "0.5";
+constexpr std::string_view retry_after_s = "0.5";
 
 // Delays before an item or a write is retried.
 constexpr std::uint64_t refused_pause_ms = 60;
@@ -33,28 +33,28 @@
 // Returns true if the workspace may read the batch, end it and get the bodies
 // of its items. For any other workspace the batch does not exist.
 bool
-is_of(const stored_batch& b, const std::string& workspace);
+is_accessible_to(const stored_batch& b, const std::string& workspace);
 
 // Returns a 503 response with a retry delay. Nothing has been executed.
 http::response
-come_back(const edge::dialect& d);
+retry_later(const edge::dialect& d);
 
 namespace detail {
 
 // A batch that is being written to the store.
-struct acceptance
+struct pending_submission
 {
   http::call caller;
   std::string id;
   batches::submission submission;
-  stored_batch head;
+  stored_batch stored;
   std::vector<std::string_view> parts;
   std::uint64_t next_part = 0;
   // When the caller gives up, on the steady clock.
-  std::uint64_t until_ms = 0;
+  std::uint64_t give_up_ms = 0;
   // A write of the batch object got no answer: it may have been applied, or may
   // still be applied later.
-  bool unknown = false;
+  bool write_unknown = false;
 };
 
 } // namespace detail
@@ -62,17 +62,17 @@
 struct manager::impl : std::enable_shared_from_this<manager::impl>
 {
   explicit impl(manager_dependencies parts)
-    : p{ std::move(parts) }
-    , timer{ p.io }
+    : deps{ std::move(parts) }
+    , timer{ deps.io }
   {
   }
 
   // Batches known from the store
-  batch_state* known(const std::string& id);
-  batch_state* learn(const store::object& o);
-  void note_owner(const batch_state& b);
+  batch_state* find_batch(const std::string& id);
+  batch_state* apply_stored_batch(const store::object& o);
+  void add_owner_as_relay(const batch_state& b);
   // `is_fresh`: the batch was just created, so no results can be listed yet.
-  void own_ours(batch_state& b, bool is_fresh);
+  void own_if_assigned(batch_state& b, bool is_fresh);
   void update(batch_state& b, stored_batch&& s);
   void close(batch_state& b);
   void forget(const std::string& id);
@@ -82,67 +82,71 @@
   void lookup(const std::string& id, std::function<void(batch_state*, bool)>);
 
   // Submissions
-  void write_parts(const std::shared_ptr<detail::acceptance>& a);
-  void write_head(const std::shared_ptr<detail::acceptance>& a);
-  void on_head(const std::shared_ptr<detail::acceptance>& a,
-               const store::reply& r);
-  void accept_again(
-    const std::shared_ptr<detail::acceptance>& a,
-    void (impl::*step)(const std::shared_ptr<detail::acceptance>&));
-  void refuse(const detail::acceptance& a);
-  membership::member self() const;
-  placement_view view_of(const std::string& host, const std::string& target);
-  void pass_on(const std::shared_ptr<detail::acceptance>& a,
-               const membership::member& to);
-  void accept_here(const std::shared_ptr<detail::acceptance>& a);
-  void remove_unclaimed(const std::string& id, std::uint64_t parts);
+  void write_parts(const std::shared_ptr<detail::pending_submission>& a);
+  void write_batch_object(const std::shared_ptr<detail::pending_submission>& a);
+  void on_batch_object_written(
+    const std::shared_ptr<detail::pending_submission>& a,
+    const store::reply& r);
+  void retry_acceptance(
+    const std::shared_ptr<detail::pending_submission>& a,
+    void (impl::*step)(const std::shared_ptr<detail::pending_submission>&));
+  void refuse(const detail::pending_submission& a);
+  membership::member this_member() const;
+  placement_view placement_view_for(const std::string& host,
+                                    const std::string& target);
+  void forward_submission(const std::shared_ptr<detail::pending_submission>& a,
+                          const membership::member& to);
+  void accept_locally(const std::shared_ptr<detail::pending_submission>& a);
+  void remove_orphaned_parts(const std::string& id, std::uint64_t parts);
   void remove_parts(const std::string& id,
                     std::uint64_t part,
                     std::uint64_t parts,
                     std::function<void(bool)> done);
-  void with_submission(batch_state& b, std::function<void(bool)> done);
-  void read_part(const std::string& id, std::uint64_t part, std::string sofar);
-  void end_read(const std::string& id, bool ok);
+  void load_submission(batch_state& b, std::function<void(bool)> done);
+  void read_part(const std::string& id,
+                 std::uint64_t part,
+                 std::string collected);
+  void finish_submission_read(const std::string& id, bool ok);
 
   // Ownership
-  void own(batch_state& b, bool is_fresh);
-  void load_tenure(const std::string& id);
-  void begin_tenure(const std::string& id);
-  void disown(batch_state& b, std::string_view why);
-  bool take_chunk(const std::string& id, const store::object& o);
+  void take_ownership(batch_state& b, bool is_fresh);
+  void load_owned_batch(const std::string& id);
+  void activate_owned_batch(const std::string& id);
+  void drop_ownership(batch_state& b, std::string_view reason);
+  bool adopt_if_next_chunk(const std::string& id, const store::object& o);
   void load_chunks(const std::string& id, std::function<void(bool)> done);
   void fence(const std::string& id, int tries, std::function<void(bool)> done);
-  void ask_owners(std::uint64_t now);
-  void take_over(batch_state& b, std::string_view why);
+  void probe_owners(std::uint64_t now);
+  void take_over(batch_state& b, std::string_view reason);
   void write_status(const std::string& id,
                     std::function<void(stored_batch&)> change,
                     std::function<void(store::verdict)> done,
                     int tries);
 
-  void tell(const std::string& address,
-            std::string_view path,
-            const std::string& id);
-  void doubt(batch_state& b, std::string_view why);
-  void verify(batch_state& b);
-  void note_alive(std::uint64_t now);
-  void note_store(std::uint64_t now);
+  void notify_peer(const std::string& address,
+                   std::string_view path,
+                   const std::string& id);
+  void mark_unconfirmed(batch_state& b, std::string_view reason);
+  void confirm_owner(batch_state& b);
+  void check_for_pause(std::uint64_t now);
+  void track_store(std::uint64_t now);
 
   // Engine usage reports between owners
   engine_runs own_runs() const;
   std::set<std::string> other_owners() const;
-  void tell_use(std::uint64_t now);
+  void report_engine_usage(std::uint64_t now);
 
   // Runs
-  void plan_soon();
+  void schedule_dispatch();
   bool has_workspaces() const;
   std::uint64_t expected_ms(const batch_state& b,
                             const item_state& i,
-                            double usual_event_ms) const;
-  double usual_event_ms(const batch_state& b) const;
-  void plan();
-  bool launch(batch_state& b, item_state& i, std::uint32_t urgency);
-  bool is_kept_out(const batch_state& b, const item_state& i);
-  void tell_guard(const item_state& i, http::end_state end);
+                            double typical_event_gap_ms) const;
+  double typical_event_gap_ms(const batch_state& b) const;
+  void dispatch();
+  bool start_run(batch_state& b, item_state& i, std::uint32_t urgency);
+  bool is_quarantined(const batch_state& b, const item_state& i);
+  void report_to_quarantine(const item_state& i, http::end_state end);
   void on_run_head(const std::string& id,
                    std::size_t at,
                    std::uint64_t run,
@@ -162,34 +166,34 @@
   void retry_item(batch_state& b,
                   item_state& i,
                   std::uint64_t pause,
-                  std::string_view why);
-  void on_text(batch_state& b, item_state& i);
-  void want_score(const std::string& id, std::size_t at);
-  void start_scores();
+                  std::string_view reason);
+  void on_text_complete(batch_state& b, item_state& i);
+  void queue_score(const std::string& id, std::size_t at);
+  void start_queued_scores();
   bool is_suspect(const unscored_text& t);
-  void score(const next_score& next);
-  void release(const next_score& next);
-  void end_score(const next_score& next, score_end end, std::size_t places);
-  std::size_t places_of(const routes::route& r) const;
+  void start_score_call(const next_score& next);
+  void release_suspect(const next_score& next);
+  void end_score_call(const next_score& next, score_end end, std::size_t slots);
+  std::size_t slots_of(const routes::route& r) const;
   void on_scored(const std::string& id,
                  std::size_t at,
                  edge::forward_outcome&& o);
   void finish_item(batch_state& b, item_state& i, item_result r);
-  void leave_ended_lives();
-  void watch_runs(batch_state& b, std::uint64_t now);
-  void give_up_late(batch_state& b);
-  void reuse_carried(batch_state& b);
-  void remember(batch_state& b);
+  void restart_runs_of_ended_incarnations();
+  void check_runs(batch_state& b, std::uint64_t now);
+  void give_up_expired_items(batch_state& b);
+  void reuse_saved_texts(batch_state& b);
+  void save_texts_for_reuse(batch_state& b);
 
   // Saved text of running items
   void save_progress(batch_state& b, std::function<void()> done);
-  void maybe_save(batch_state& b, std::uint64_t now);
+  void save_progress_if_due(batch_state& b, std::uint64_t now);
   void load_progress(const std::string& id, std::function<void()> done);
 
   // Results
   void write_results(batch_state& b);
-  void maybe_write(batch_state& b, std::uint64_t now);
-  void read_back(const std::string& id, std::uint64_t chunk);
+  void write_results_if_due(batch_state& b, std::uint64_t now);
+  void resolve_unknown_write(const std::string& id, std::uint64_t chunk);
   void on_chunk(const std::string& id, stored_chunk chunk);
   void answer_readers(batch_state& b, std::uint64_t now);
   void answer_reader(const waiting_reader& r, batch_state& b);
@@ -202,42 +206,42 @@
   // Removal of ended batches
   void remove_expired(std::uint64_t now);
   void remove_chunk(const std::string& id, std::uint64_t chunk);
-  void remove_rest(const std::string& id);
-  void remove_head(const std::string& id);
+  void remove_progress_and_parts(const std::string& id);
+  void remove_batch_object(const std::string& id);
 
-  std::optional<std::string_view> owner_silence(const batch_state& b,
-                                                std::uint64_t now);
+  std::optional<std::string_view> takeover_reason(const batch_state& b,
+                                                  std::uint64_t now);
   void tick();
 
-  manager_dependencies p;
+  manager_dependencies deps;
   asio::steady_timer timer;
   std::unordered_map<std::string, std::unique_ptr<batch_state>> batches;
   // Submissions that this instance is accepting; it does not need to read them
   // back from the store.
-  std::unordered_map<std::string, std::shared_ptr<detail::acceptance>>
+  std::unordered_map<std::string, std::shared_ptr<detail::pending_submission>>
     accepting;
-  std::unordered_map<std::string, detail::carried_item> carried;
+  std::unordered_map<std::string, detail::reusable_text> reusable_texts;
   // When the owner at an address last answered, on the steady clock.
-  std::map<std::string, std::uint64_t> owner_seen;
-  std::map<std::string, std::uint64_t> owner_refused;
+  std::map<std::string, std::uint64_t> owner_seen_at_ms;
+  std::map<std::string, std::uint64_t> owner_refused_at_ms;
   // When the owner last answered that it is alive but cannot reach the store.
-  std::map<std::string, std::uint64_t> owner_cut_off;
-  std::map<std::string, bool> owner_asked;
+  std::map<std::string, std::uint64_t> owner_cut_off_at_ms;
+  std::map<std::string, bool> owner_probe_pending;
   // Since when the store has been answering this instance; 0 while it does not.
-  std::uint64_t store_there_since_ms = 0;
-  std::uint64_t last_ask = 0;
+  std::uint64_t store_reachable_since_ms = 0;
+  std::uint64_t last_probe_ms = 0;
   // When this process last read the clocks, to detect that it was paused.
-  std::uint64_t alive_ms = 0;
-  std::uint64_t alive_wall_ms = 0;
-  std::uint64_t last_expiry_look = 0;
+  std::uint64_t last_clock_ms = 0;
+  std::uint64_t last_wall_clock_ms = 0;
+  std::uint64_t last_expiry_check_ms = 0;
   token_pace pace;
-  use_of_others others;
-  engine_runs told_runs;
-  std::uint64_t told_ms = 0;
+  peer_engine_usage peer_usage;
+  engine_runs reported_runs;
+  std::uint64_t last_report_ms = 0;
   score_queue unscored;
-  score_limit scores;
+  score_limit score_limiter;
   std::uint64_t next_run = 1;
-  bool plan_posted = false;
+  bool dispatch_scheduled = false;
   bool leaving = false;
 };
 
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -13,22 +13,22 @@
 
 // How often the owners of open batches are probed. A step has seconds to spare,
 // and each probe is one small message in each direction.
-constexpr std::uint64_t owner_ask_ms = 300;
-constexpr std::uint64_t owner_answer_ms = 600;
+constexpr std::uint64_t owner_probe_interval_ms = 300;
+constexpr std::uint64_t owner_probe_timeout_ms = 600;
 
 // A connection attempt that fails faster than this was refused: no process
 // listens at the address.
-constexpr std::uint64_t refusal_limit_ms = 200;
+constexpr std::uint64_t connection_refused_limit_ms = 200;
 
 // Other instances presume an owner dead after 1.3 s of silence. An owner that
 // notices a pause longer than about half of that asks the store whether it has
 // been replaced.
-constexpr std::uint64_t standstill_ms = 700;
+constexpr std::uint64_t pause_limit_ms = 700;
 
 } // namespace
 
 void
-manager::impl::own(batch_state& b, bool is_fresh)
+manager::impl::take_ownership(batch_state& b, bool is_fresh)
 {
   if (leaving) {
     return;
@@ -41,34 +41,34 @@
                       .with("revision", b.stored.revision));
   b.loaded = is_fresh && b.has_submission;
   if (b.loaded) {
-    plan_soon();
+    schedule_dispatch();
     return;
   }
   const auto id = b.stored.id;
-  with_submission(b, [self = shared_from_this(), id](bool ok) {
-    auto* read = self->known(id);
+  load_submission(b, [self = shared_from_this(), id](bool ok) {
+    auto* read = self->find_batch(id);
     if (read == nullptr || !read->owned) {
       return;
     }
-    read->load_again = !ok;
+    read->load_pending = !ok;
     if (ok) {
-      self->load_tenure(id);
+      self->load_owned_batch(id);
     }
   });
 }
 
 // Reads the listed results before this instance adds to them.
 void
-manager::impl::load_tenure(const std::string& id)
+manager::impl::load_owned_batch(const std::string& id)
 {
   load_chunks(id, [self = shared_from_this(), id](bool ok) {
-    auto* loaded = self->known(id);
+    auto* loaded = self->find_batch(id);
     if (loaded == nullptr || !loaded->owned) {
       return;
     }
-    loaded->load_again = !ok;
+    loaded->load_pending = !ok;
     if (ok) {
-      self->begin_tenure(id);
+      self->activate_owned_batch(id);
     }
   });
 }
@@ -76,43 +76,43 @@
 // Called when all chunks have been read. Creates the fence; once it is stored,
 // no previous owner can add a chunk, and results may be shown.
 void
-manager::impl::begin_tenure(const std::string& id)
+manager::impl::activate_owned_batch(const std::string& id)
 {
   constexpr int fence_tries = 5;
   fence(id, fence_tries, [self = shared_from_this(), id](bool fenced) {
-    auto* b = self->known(id);
+    auto* b = self->find_batch(id);
     if (b == nullptr || !b->owned) {
       return;
     }
-    b->load_again = !fenced;
+    b->load_pending = !fenced;
     if (!fenced) {
       return;
     }
-    b->drop_listed();
+    b->mark_listed_finished();
     self->load_progress(id, [self, id] {
-      auto* ready = self->known(id);
+      auto* ready = self->find_batch(id);
       if (ready != nullptr && ready->owned) {
         ready->loaded = true;
-        self->reuse_carried(*ready);
-        self->plan_soon();
+        self->reuse_saved_texts(*ready);
+        self->schedule_dispatch();
       }
     });
   });
 }
 
 void
-manager::impl::disown(batch_state& b, std::string_view why)
+manager::impl::drop_ownership(batch_state& b, std::string_view reason)
 {
   if (!b.owned) {
     return;
   }
   // A write in progress may already be in the store, and other instances may
   // have shown its results.
-  b.complete = b.loaded && b.stored.ended && b.stored.owner == p.instance &&
-               is_settled(b.ledger) && !b.doubted;
+  b.complete = b.loaded && b.stored.ended && b.stored.owner == deps.instance &&
+               is_settled(b.ledger) && !b.owner_unconfirmed;
   b.owned = false;
   b.loaded = false;
-  b.doubted = false;
+  b.owner_unconfirmed = false;
   for (auto& i : b.items) {
     if (i.stage == item_stage::running) {
       stop_run(i);
@@ -122,7 +122,7 @@
     }
     i.stage = item_stage::waiting;
   }
-  b.recount();
+  b.recount_unfinished();
   b.ledger.pending.clear();
   b.ledger.writing = 0;
   b.ledger.ids.clear();
@@ -132,7 +132,7 @@
   answer_readers(b, http::now_ms());
   process::log_line(timeline::event{ "batch_disowned" }
                       .with("batch", b.stored.id)
-                      .with("why", why));
+                      .with("why", reason));
 }
 
 void
@@ -140,7 +140,7 @@
                      int tries,
                      std::function<void(bool)> done)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || !b->owned || tries == 0) {
     done(false);
     return;
@@ -152,35 +152,35 @@
   c.kind = chunk_kind;
   c.name = chunk_name(id, chunk);
   c.body = encode_chunk(empty);
-  p.store.perform(c,
-                  [self = shared_from_this(), id, chunk, empty, tries, done](
-                    store::reply&& r) {
-                    auto* now = self->known(id);
-                    if (now == nullptr || !now->owned) {
-                      done(false);
-                      return;
-                    }
-                    if (r.what == store::verdict::done) {
-                      if (now->ledger.chunks == chunk) {
-                        self->on_chunk(id, empty);
-                      }
-                      done(true);
-                      return;
-                    }
-                    if (r.what == store::verdict::refused) {
-                      done(false);
-                      return;
-                    }
-                    // The chunk was created by another owner, or by this one in
-                    // a write whose answer was lost.
-                    self->load_chunks(id, [self, id, tries, done](bool ok) {
-                      if (ok) {
-                        self->fence(id, tries - 1, done);
-                      } else {
-                        done(false);
-                      }
-                    });
-                  });
+  deps.store.perform(c,
+                     [self = shared_from_this(), id, chunk, empty, tries, done](
+                       store::reply&& r) {
+                       auto* current = self->find_batch(id);
+                       if (current == nullptr || !current->owned) {
+                         done(false);
+                         return;
+                       }
+                       if (r.what == store::verdict::done) {
+                         if (current->ledger.chunks == chunk) {
+                           self->on_chunk(id, empty);
+                         }
+                         done(true);
+                         return;
+                       }
+                       if (r.what == store::verdict::refused) {
+                         done(false);
+                         return;
+                       }
+                       // The chunk was created by another owner, or by this one
+                       // in a write whose answer was lost.
+                       self->load_chunks(id, [self, id, tries, done](bool ok) {
+                         if (ok) {
+                           self->fence(id, tries - 1, done);
+                         } else {
+                           done(false);
+                         }
+                       });
+                     });
 }
 
 // Reads the chunks after the known ones until there are none left. If no chunk
@@ -190,7 +190,7 @@
 manager::impl::load_chunks(const std::string& id,
                            std::function<void(bool)> done)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr) {
     done(false);
     return;
@@ -205,23 +205,23 @@
     c.op = store::operation::get;
     c.name = chunk_name(id, first);
   }
-  p.store.perform(
+  deps.store.perform(
     c, [self = shared_from_this(), id, first, done](store::reply&& r) {
       const bool absent = r.what == store::verdict::missing;
-      auto* now = self->known(id);
-      if (now == nullptr || (r.what != store::verdict::done && !absent)) {
+      auto* current = self->find_batch(id);
+      if (current == nullptr || (r.what != store::verdict::done && !absent)) {
         done(false);
         return;
       }
       // A concurrent read has already added chunks and may still be in
       // progress, so this answer no longer starts at the next chunk.
-      if (now->ledger.chunks != first) {
+      if (current->ledger.chunks != first) {
         self->load_chunks(id, done);
         return;
       }
       std::size_t taken = 0;
       for (const auto& o : r.items) {
-        taken += self->take_chunk(id, o) ? 1 : 0;
+        taken += self->adopt_if_next_chunk(id, o) ? 1 : 0;
       }
       // A list without further pages contains all chunks of this batch.
       // Checking for one more would cost an additional call for each owner and
@@ -237,9 +237,10 @@
 
 // Adds the chunk if it is the next one; skips any other.
 bool
-manager::impl::take_chunk(const std::string& id, const store::object& o)
+manager::impl::adopt_if_next_chunk(const std::string& id,
+                                   const store::object& o)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || o.name != chunk_name(id, b->ledger.chunks)) {
     return false;
   }
@@ -261,7 +262,7 @@
                             std::function<void(store::verdict)> done,
                             int tries)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr) {
     done(store::verdict::missing);
     return;
@@ -278,10 +279,10 @@
   c.name = id;
   c.revision = b->stored.revision;
   c.body = encode_status(wanted);
-  p.store.perform(
+  deps.store.perform(
     c, [self = shared_from_this(), id, change, done, tries](store::reply&& r) {
       for (const auto& o : r.items) {
-        self->learn(o);
+        self->apply_stored_batch(o);
       }
       const bool again = r.what == store::verdict::conflict ||
                          (r.what == store::verdict::unknown && r.items.empty());
@@ -298,10 +299,10 @@
       get.op = store::operation::get;
       get.kind = batch_kind;
       get.name = id;
-      self->p.store.perform(
+      self->deps.store.perform(
         get, [self, id, change, done, tries](store::reply&& back) {
           for (const auto& o : back.items) {
-            self->learn(o);
+            self->apply_stored_batch(o);
           }
           if (back.what == store::verdict::done) {
             self->write_status(id, change, done, tries - 1);
@@ -315,12 +316,12 @@
 // Probes the owners of open batches. Only their own silence counts, because the
 // store may be unreachable for this instance alone.
 void
-manager::impl::ask_owners(std::uint64_t now)
+manager::impl::probe_owners(std::uint64_t now)
 {
-  if (now - last_ask < owner_ask_ms) {
+  if (now - last_probe_ms < owner_probe_interval_ms) {
     return;
   }
-  last_ask = now;
+  last_probe_ms = now;
   std::set<std::string> owners;
   for (const auto& [id, b] : batches) {
     if (b->is_open() && !b->owned && !b->stored.owner_address.empty()) {
@@ -328,32 +329,32 @@
     }
   }
   for (const auto& address : owners) {
-    if (owner_asked[address]) {
+    if (owner_probe_pending[address]) {
       continue;
     }
-    owner_asked[address] = true;
+    owner_probe_pending[address] = true;
     http::request r;
     r.method = "GET";
     r.target = peer_alive_path;
     http::exchange_options o;
-    o.timeout_ms = owner_answer_ms;
-    o.connect_timeout_ms = owner_answer_ms;
-    p.http.fetch(address,
-                 r,
-                 o,
-                 [self = shared_from_this(), address, now](http::end_state end,
-                                                           http::response&& a) {
-                   self->owner_asked[address] = false;
-                   const auto then = http::now_ms();
-                   if (end == http::end_state::complete && a.status == 200) {
-                     self->owner_seen[address] = then;
-                   } else if (end == http::end_state::complete) {
-                     self->owner_cut_off[address] = then;
-                   } else if (end == http::end_state::not_sent &&
-                              then - now < refusal_limit_ms) {
-                     self->owner_refused[address] = then;
-                   }
-                 });
+    o.timeout_ms = owner_probe_timeout_ms;
+    o.connect_timeout_ms = owner_probe_timeout_ms;
+    deps.http.fetch(address,
+                    r,
+                    o,
+                    [self = shared_from_this(), address, now](
+                      http::end_state end, http::response&& a) {
+                      self->owner_probe_pending[address] = false;
+                      const auto then = http::now_ms();
+                      if (end == http::end_state::complete && a.status == 200) {
+                        self->owner_seen_at_ms[address] = then;
+                      } else if (end == http::end_state::complete) {
+                        self->owner_cut_off_at_ms[address] = then;
+                      } else if (end == http::end_state::not_sent &&
+                                 then - now < connection_refused_limit_ms) {
+                        self->owner_refused_at_ms[address] = then;
+                      }
+                    });
   }
 }
 
@@ -363,19 +364,19 @@
 // show results of a batch that it no longer owns. If the message is lost, the
 // watch eventually delivers the change.
 void
-manager::impl::tell(const std::string& address,
-                    std::string_view path,
-                    const std::string& id)
+manager::impl::notify_peer(const std::string& address,
+                           std::string_view path,
+                           const std::string& id)
 {
-  if (address.empty() || address == p.address) {
+  if (address.empty() || address == deps.address) {
     return;
   }
   http::request r;
   r.method = "POST";
   r.target = std::string{ path } + id;
   http::exchange_options o;
-  o.timeout_ms = owner_answer_ms;
-  p.http.fetch(
+  o.timeout_ms = owner_probe_timeout_ms;
+  deps.http.fetch(
     address, r, o, [id, address](http::end_state end, http::response&&) {
       if (end != http::end_state::complete) {
         process::log_line(timeline::event{ "owner_not_told" }
@@ -391,43 +392,43 @@
 // for whom this instance has no further results are asked to retry, instead of
 // being told that there are none.
 void
-manager::impl::doubt(batch_state& b, std::string_view why)
+manager::impl::mark_unconfirmed(batch_state& b, std::string_view reason)
 {
-  if (!b.owned || b.doubted) {
+  if (!b.owned || b.owner_unconfirmed) {
     return;
   }
-  b.doubted = true;
+  b.owner_unconfirmed = true;
   process::log_line(timeline::event{ "batch_doubted" }
                       .with("batch", b.stored.id)
-                      .with("why", why)
+                      .with("why", reason)
                       .with("revision", b.stored.revision));
-  verify(b);
+  confirm_owner(b);
 }
 
 // Reads the current owner of a batch from the store.
 void
-manager::impl::verify(batch_state& b)
+manager::impl::confirm_owner(batch_state& b)
 {
-  if (b.verifying) {
+  if (b.confirming_owner) {
     return;
   }
-  b.verifying = true;
+  b.confirming_owner = true;
   const auto id = b.stored.id;
   store::call c;
   c.op = store::operation::get;
   c.kind = batch_kind;
   c.name = id;
-  p.store.perform(c, [self = shared_from_this(), id](store::reply&& r) {
-    auto* now = self->known(id);
-    if (now == nullptr) {
+  deps.store.perform(c, [self = shared_from_this(), id](store::reply&& r) {
+    auto* current = self->find_batch(id);
+    if (current == nullptr) {
       return;
     }
-    now->verifying = false;
+    current->confirming_owner = false;
     // Without an answer the owner stays unconfirmed, and the next check asks
     // again.
     if (r.what == store::verdict::done && !r.items.empty()) {
-      now->doubted = false;
-      self->learn(r.items.front());
+      current->owner_unconfirmed = false;
+      self->apply_stored_batch(r.items.front());
     }
   });
 }
@@ -437,24 +438,25 @@
 // instance is suspended, but the wall clock does. A step of the wall clock
 // costs only one additional read.
 void
-manager::impl::note_alive(std::uint64_t now)
+manager::impl::check_for_pause(std::uint64_t now)
 {
   const auto wall = timeline::wall_ms();
-  const auto before = std::exchange(alive_ms, now);
-  const auto wall_before = std::exchange(alive_wall_ms, wall);
+  const auto before = std::exchange(last_clock_ms, now);
+  const auto wall_before = std::exchange(last_wall_clock_ms, wall);
   const bool first = before == 0;
-  const auto stood = std::max(now - before, wall - std::min(wall, wall_before));
-  if (first || stood < standstill_ms) {
+  const auto paused_ms =
+    std::max(now - before, wall - std::min(wall, wall_before));
+  if (first || paused_ms < pause_limit_ms) {
     return;
   }
-  process::log_line(timeline::event{ "stood_still" }.with("for_ms", stood));
+  process::log_line(timeline::event{ "stood_still" }.with("for_ms", paused_ms));
   for (auto& entry : batches) {
-    doubt(*entry.second, "stood_still");
+    mark_unconfirmed(*entry.second, "stood_still");
   }
 }
 
 void
-manager::impl::take_over(batch_state& b, std::string_view why)
+manager::impl::take_over(batch_state& b, std::string_view reason)
 {
   if (b.taking_over || leaving) {
     return;
@@ -466,26 +468,26 @@
   process::log_line(timeline::event{ "batch_takeover" }
                       .with("batch", id)
                       .with("from", from)
-                      .with("why", why)
+                      .with("why", reason)
                       .with("revision", b.stored.revision));
   write_status(
     id,
     [self = shared_from_this(), from](stored_batch& s) {
       if (s.owner == from && !s.ended) {
-        s.owner = self->p.instance;
-        s.owner_address = self->p.address;
-        s.owner_capacity = self->p.capacity;
+        s.owner = self->deps.instance;
+        s.owner_address = self->deps.address;
+        s.owner_capacity = self->deps.capacity;
       }
     },
     [self = shared_from_this(), id, address](store::verdict) {
-      auto* now = self->known(id);
-      if (now == nullptr) {
+      auto* current = self->find_batch(id);
+      if (current == nullptr) {
         return;
       }
-      now->taking_over = false;
-      now->owner_since_ms = http::now_ms();
-      if (now->owned) {
-        self->tell(address, peer_taken_path, id);
+      current->taking_over = false;
+      current->owner_since_ms = http::now_ms();
+      if (current->owned) {
+        self->notify_peer(address, peer_taken_path, id);
       }
     },
     2);
--- a/cactusford/batches/placement-test.cc
+++ b/cactusford/batches/placement-test.cc
@@ -24,11 +24,11 @@
 }
 
 placement_view
-view_of(const member& self, std::vector<runner> of_trainer)
+view_of(const member& self, std::vector<runner> trainer_runners)
 {
   placement_view v;
   v.self = self;
-  v.of_trainer = std::move(of_trainer);
+  v.trainer_runners = std::move(trainer_runners);
   v.now_ms = now;
   return v;
 }
@@ -66,24 +66,24 @@
 Test(placement, finds_a_large_entry_from_a_small_one)
 {
   auto v = view_of(member_of("self", 0.09), { runner_of("small", 0.09, 4000) });
-  v.known = { member_of("big-1", 0.5), member_of("big-2", 0.5) };
+  v.largest_entries = { member_of("big-1", 0.5), member_of("big-2", 0.5) };
   const auto first = choose_runner(v);
   cr_assert_eq(first.capacity, 0.5);
   SECTION("two trainers do not share one")
   {
-    v.busy = { first.instance };
+    v.busy_instances = { first.instance };
     cr_assert_eq(choose_runner(v).capacity, 0.5);
     cr_assert_neq(choose_runner(v).instance, first.instance);
   }
   SECTION("unless there are more trainers than large entries")
   {
-    v.busy = { "big-1", "big-2", "self" };
+    v.busy_instances = { "big-1", "big-2", "self" };
     cr_assert_eq(choose_runner(v), first);
   }
   SECTION("first steps of several trainers at one moment are spread")
   {
     auto fresh = v;
-    fresh.busy.clear();
+    fresh.busy_instances.clear();
     std::set<std::string> chosen;
     for (const auto* trainer : { "/a/", "/b/", "/c/", "/d/", "/e/", "/f/" }) {
       fresh.trainer = trainer;
@@ -93,13 +93,13 @@
   }
   SECTION("steps do not move for little")
   {
-    v.of_trainer = { runner_of("medium", 0.4, 4000) };
+    v.trainer_runners = { runner_of("medium", 0.4, 4000) };
     cr_assert_eq(choose_runner(v).instance, "medium");
   }
   SECTION("nor from a large entry to another")
   {
     v.self = member_of("self", 0.5);
-    v.of_trainer = { runner_of("big-2", 0.5, 4000) };
+    v.trainer_runners = { runner_of("big-2", 0.5, 4000) };
     cr_assert_eq(choose_runner(v).instance, "big-2");
   }
 }
@@ -120,12 +120,12 @@
 {
   auto v = view_of(member_of("self", 0.5), {});
   cr_assert_not(choose_successor(v), "nobody is known");
-  v.known = { member_of("self", 0.5),
-              member_of("young", 0.5),
-              member_of("old", 0.5) };
+  v.largest_entries = { member_of("self", 0.5),
+                        member_of("young", 0.5),
+                        member_of("old", 0.5) };
   cr_assert_eq(choose_successor(v)->instance, "young");
-  v.busy = { "young" };
+  v.busy_instances = { "young" };
   cr_assert_eq(choose_successor(v)->instance, "old");
-  v.busy = { "young", "old" };
+  v.busy_instances = { "young", "old" };
   cr_assert_eq(choose_successor(v)->instance, "young");
 }
--- a/cactusford/batches/placement.cc
+++ b/cactusford/batches/placement.cc
@@ -12,37 +12,39 @@
 // Owners of open batches are probed every 300 ms. An owner that missed two
 // probes may be gone, and a batch given to it would have to wait for the next
 // takeover.
-constexpr std::uint64_t seen_limit_ms = 800;
+constexpr std::uint64_t max_answer_age_ms = 800;
 
 // An entry with at least this share of the largest entry's capacity is large
 // enough. Moving the steps costs a hundred connections and the saved text of
 // resubmitted items.
-constexpr double large_enough = 0.7;
+constexpr double min_capacity_share = 0.7;
 
 std::optional<membership::member>
-living_runner(const placement_view& v)
+live_runner(const placement_view& v)
 {
-  const auto newest = std::max_element(
-    v.of_trainer.begin(), v.of_trainer.end(), [](const auto& a, const auto& b) {
-      return a.accepted_wall_ms < b.accepted_wall_ms;
-    });
-  const bool lives =
-    newest != v.of_trainer.end() && v.now_ms - newest->seen_ms <= seen_limit_ms;
-  return lives ? std::optional{ newest->of } : std::nullopt;
+  const auto newest =
+    std::max_element(v.trainer_runners.begin(),
+                     v.trainer_runners.end(),
+                     [](const auto& a, const auto& b) {
+                       return a.accepted_wall_ms < b.accepted_wall_ms;
+                     });
+  const bool is_alive = newest != v.trainer_runners.end() &&
+                        v.now_ms - newest->seen_ms <= max_answer_age_ms;
+  return is_alive ? std::optional{ newest->entry } : std::nullopt;
 }
 
 // Returns the largest entry that runs no other trainer's steps, or the largest
 // of all if every entry does.
 membership::member
-largest_free(const placement_view& v)
+largest_idle_entry(const placement_view& v)
 {
   const auto rank_of = [&](const membership::member& m) {
-    return std::tuple{ !v.busy.contains(m.instance),
+    return std::tuple{ !v.busy_instances.contains(m.instance),
                        m.capacity,
                        membership::weight_of(m.instance, v.trainer) };
   };
   auto best = v.self;
-  for (const auto& m : v.known) {
+  for (const auto& m : v.largest_entries) {
     best = rank_of(m) > rank_of(best) ? m : best;
   }
   return best;
@@ -53,32 +55,32 @@
 membership::member
 choose_runner(const placement_view& v)
 {
-  const auto best = largest_free(v);
+  const auto best = largest_idle_entry(v);
   const auto is_large_enough = [&](const membership::member& m) {
-    return m.capacity >= large_enough * best.capacity;
+    return m.capacity >= min_capacity_share * best.capacity;
   };
-  const auto runner = living_runner(v);
+  const auto runner = live_runner(v);
   if (runner && is_large_enough(*runner)) {
     return *runner;
   }
-  const bool is_free = !v.busy.contains(v.self.instance);
+  const bool is_free = !v.busy_instances.contains(v.self.instance);
   return is_free && is_large_enough(v.self) ? v.self : best;
 }
 
 std::optional<membership::member>
 choose_successor(const placement_view& v)
 {
-  std::optional<membership::member> first;
-  for (const auto& m : v.known) {
+  std::optional<membership::member> fallback;
+  for (const auto& m : v.largest_entries) {
     if (m.instance == v.self.instance) {
       continue;
     }
-    if (!v.busy.contains(m.instance)) {
+    if (!v.busy_instances.contains(m.instance)) {
       return m;
     }
-    first = first ? first : m;
+    fallback = fallback ? fallback : m;
   }
-  return first;
+  return fallback;
 }
 
 } // namespace cactusford::batches
--- a/cactusford/batches/placement.h
+++ b/cactusford/batches/placement.h
@@ -24,7 +24,7 @@
 // An entry that runs an earlier batch of the same trainer.
 struct runner
 {
-  membership::member of;
+  membership::member entry;
   // When the batch was accepted, on the wall clock.
   std::uint64_t accepted_wall_ms = 0;
   // When the entry last answered a probe, on the steady clock.
@@ -42,11 +42,11 @@
   // same moment.
   std::string trainer;
   // Entries that run batches of the same trainer.
-  std::vector<runner> of_trainer;
+  std::vector<runner> trainer_runners;
   // The largest entries, in descending order of capacity.
-  std::vector<membership::member> known;
+  std::vector<membership::member> largest_entries;
   // Instances that run open batches of other trainers.
-  std::set<std::string> busy;
+  std::set<std::string> busy_instances;
   std::uint64_t now_ms = 0;
 };
 
--- a/cactusford/batches/progress_store.cc
+++ b/cactusford/batches/progress_store.cc
@@ -11,35 +11,37 @@
 // Text is saved once a run has lasted about a second, and every second after
 // that, so at most that much is lost with the owner. Each write is a billed
 // call; a step with stragglers makes about six of them.
-constexpr std::uint64_t save_every_ms = 1000;
-constexpr std::uint64_t least_run_ms = 900;
+constexpr std::uint64_t save_interval_ms = 1000;
+constexpr std::uint64_t min_run_ms = 900;
 
 // A value in the store is limited to a megabyte.
-constexpr std::size_t saved_bytes = 600U << 10;
+constexpr std::size_t max_saved_bytes = 600U << 10;
 
 // Collects the text of runs that have lasted long enough, as far as it fits
 // into one value.
 progress
-progress_of(const batch_state& b, std::uint64_t now, std::uint64_t least_ms)
+collect_progress(const batch_state& b,
+                 std::uint64_t now,
+                 std::uint64_t min_age_ms)
 {
-  progress p;
+  progress texts;
   std::size_t bytes = 0;
   for (const auto& i : b.items) {
     const bool unfinished =
       i.stage == item_stage::running || i.stage == item_stage::waiting;
-    const bool worth_it =
+    const bool is_worth_saving =
       i.text.events > 0 &&
-      (i.stage == item_stage::waiting || now - i.started_ms >= least_ms);
-    if (!unfinished || !worth_it) {
+      (i.stage == item_stage::waiting || now - i.started_ms >= min_age_ms);
+    if (!unfinished || !is_worth_saving) {
       continue;
     }
     bytes += i.text.text.size();
-    if (bytes > saved_bytes) {
+    if (bytes > max_saved_bytes) {
       break;
     }
-    p[b.submission.items[i.index].id] = i.text;
+    texts[b.submission.items[i.index].id] = i.text;
   }
-  return p;
+  return texts;
 }
 
 } // namespace
@@ -48,28 +50,29 @@
 manager::impl::save_progress(batch_state& b, std::function<void()> done)
 {
   const auto now = http::now_ms();
-  b.saved_ms = now;
+  b.last_save_ms = now;
   // An owner that is shutting down hands over all text that it has.
-  const auto p = progress_of(b, now, leaving ? 0 : least_run_ms);
-  if (p.empty()) {
+  const auto texts = collect_progress(b, now, leaving ? 0 : min_run_ms);
+  if (texts.empty()) {
     done();
     return;
   }
   b.saving = true;
   const auto id = b.stored.id;
   store::call c;
-  c.op = b.has_saved ? store::operation::replace : store::operation::create;
+  c.op = b.has_stored_progress ? store::operation::replace
+                               : store::operation::create;
   c.kind = progress_kind;
   c.name = id;
-  c.body = encode_progress(p);
-  this->p.store.perform(
+  c.body = encode_progress(texts);
+  this->deps.store.perform(
     c, [self = shared_from_this(), id, done](store::reply&& r) {
-      if (auto* now_known = self->known(id)) {
-        now_known->saving = false;
+      if (auto* current = self->find_batch(id)) {
+        current->saving = false;
         // A conflict means that a previous owner created the object; the next
         // write replaces it.
-        now_known->has_saved =
-          (now_known->has_saved && r.what != store::verdict::missing) ||
+        current->has_stored_progress =
+          (current->has_stored_progress && r.what != store::verdict::missing) ||
           r.what == store::verdict::done || r.what == store::verdict::conflict;
       }
       done();
@@ -77,9 +80,9 @@
 }
 
 void
-manager::impl::maybe_save(batch_state& b, std::uint64_t now)
+manager::impl::save_progress_if_due(batch_state& b, std::uint64_t now)
 {
-  if (!b.saving && now - b.saved_ms >= save_every_ms) {
+  if (!b.saving && now - b.last_save_ms >= save_interval_ms) {
     save_progress(b, [] {});
   }
 }
@@ -91,26 +94,27 @@
   c.op = store::operation::get;
   c.kind = progress_kind;
   c.name = id;
-  p.store.perform(c, [self = shared_from_this(), id, done](store::reply&& r) {
-    auto* b = self->known(id);
-    if (b != nullptr && r.what == store::verdict::done && !r.items.empty()) {
-      b->has_saved = true;
-      const auto saved = decode_progress(r.items.front().spec);
-      std::size_t used = 0;
-      for (auto& i : b->items) {
-        const auto found = saved.find(b->submission.items[i.index].id);
-        if (i.stage == item_stage::waiting && found != saved.end() &&
-            found->second.events > i.text.events) {
-          i.text = found->second;
-          ++used;
+  deps.store.perform(
+    c, [self = shared_from_this(), id, done](store::reply&& r) {
+      auto* b = self->find_batch(id);
+      if (b != nullptr && r.what == store::verdict::done && !r.items.empty()) {
+        b->has_stored_progress = true;
+        const auto saved = decode_progress(r.items.front().spec);
+        std::size_t used = 0;
+        for (auto& i : b->items) {
+          const auto found = saved.find(b->submission.items[i.index].id);
+          if (i.stage == item_stage::waiting && found != saved.end() &&
+              found->second.events > i.text.events) {
+            i.text = found->second;
+            ++used;
+          }
         }
+        process::log_line(timeline::event{ "progress_loaded" }
+                            .with("batch", id)
+                            .with("items", used));
       }
-      process::log_line(timeline::event{ "progress_loaded" }
-                          .with("batch", id)
-                          .with("items", used));
-    }
-    done();
-  });
+      done();
+    });
 }
 
 } // namespace cactusford::batches
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -11,7 +11,7 @@
 // Results are collected for this long before they are written, unless a group
 // is complete: single results are of no use to the trainer yet, and each write
 // is a call.
-constexpr std::uint64_t gather_ms = 1500;
+constexpr std::uint64_t collect_ms = 1500;
 
 // A value in the store is limited to a megabyte; JSON escapes and member names
 // add to the text.
@@ -20,14 +20,14 @@
 
 // A trainer reads about twice a second. Results of complete groups are
 // collected for this long until the trainer has as many groups as it waits for.
-constexpr std::uint64_t whole_gather_ms = 300;
+constexpr std::uint64_t group_collect_ms = 300;
 
 // How much longer than its wait a read of results from the owner may take.
 constexpr std::uint64_t peer_read_ms = 400;
 
 // Minimum time between two checks by one instance for new chunks of a batch
 // that it does not own.
-constexpr std::uint64_t chunk_look_ms = 300;
+constexpr std::uint64_t chunk_check_ms = 300;
 
 } // namespace
 
@@ -36,20 +36,22 @@
 // completed before the last required one do not affect when the step ends, so
 // they share a write.
 void
-manager::impl::maybe_write(batch_state& b, std::uint64_t now)
+manager::impl::write_results_if_due(batch_state& b, std::uint64_t now)
 {
   if (!b.owned || !b.loaded || b.ledger.writing != 0 ||
-      b.ledger.pending.empty() || now < b.write_again_ms) {
+      b.ledger.pending.empty() || now < b.next_write_ms) {
     return;
   }
-  const bool whole_enough =
-    b.group_became_whole && b.whole_groups() >= b.submission.desired_groups;
-  const bool whole_long =
-    b.group_became_whole && now - b.whole_since_ms >= whole_gather_ms;
-  const bool old = now - b.ledger.pending_since_ms >= gather_ms;
-  const bool all =
+  const bool has_desired_groups =
+    b.group_completed && b.complete_groups() >= b.submission.desired_groups;
+  const bool group_waited_long =
+    b.group_completed && now - b.group_completed_ms >= group_collect_ms;
+  const bool results_waited_long =
+    now - b.ledger.pending_since_ms >= collect_ms;
+  const bool all_finished =
     b.ledger.pending.size() + b.ledger.listed.size() == b.stored.items;
-  if (whole_enough || whole_long || old || all) {
+  if (has_desired_groups || group_waited_long || results_waited_long ||
+      all_finished) {
     write_results(b);
   }
 }
@@ -57,7 +59,7 @@
 void
 manager::impl::write_results(batch_state& b)
 {
-  b.group_became_whole = false;
+  b.group_completed = false;
   const auto results = begin_chunk(b.ledger, chunk_bytes);
   const auto id = b.stored.id;
   const auto chunk = b.ledger.chunks;
@@ -67,31 +69,31 @@
   c.name = chunk_name(id, chunk);
   const stored_chunk written{ b.epoch, results };
   c.body = encode_chunk(written);
-  p.store.perform(
+  deps.store.perform(
     c, [self = shared_from_this(), id, chunk, written](store::reply&& r) {
-      auto* now = self->known(id);
-      if (now == nullptr || now->ledger.chunks != chunk) {
+      auto* current = self->find_batch(id);
+      if (current == nullptr || current->ledger.chunks != chunk) {
         return;
       }
       if (r.what == store::verdict::done) {
         self->on_chunk(id, written);
-        self->maybe_write(*now, http::now_ms());
+        self->write_results_if_due(*current, http::now_ms());
         return;
       }
-      if (!now->owned) {
+      if (!current->owned) {
         // The batch ended in the meantime. Only the store can tell whether this
         // chunk was written.
-        now->complete = false;
+        current->complete = false;
         return;
       }
       if (r.what == store::verdict::conflict ||
           r.what == store::verdict::unknown) {
-        self->read_back(id, chunk);
+        self->resolve_unknown_write(id, chunk);
         return;
       }
-      abandon_chunk(now->ledger);
-      now->group_became_whole = true;
-      now->write_again_ms = http::now_ms() + failed_pause_ms;
+      abandon_chunk(current->ledger);
+      current->group_completed = true;
+      current->next_write_ms = http::now_ms() + failed_pause_ms;
     });
 }
 
@@ -99,29 +101,29 @@
 // there is nothing yet, the lost write may still be applied; the next create
 // would then get a conflict.
 void
-manager::impl::read_back(const std::string& id, std::uint64_t chunk)
+manager::impl::resolve_unknown_write(const std::string& id, std::uint64_t chunk)
 {
   load_chunks(id, [self = shared_from_this(), id, chunk](bool) {
-    auto* b = self->known(id);
+    auto* b = self->find_batch(id);
     if (b == nullptr || !b->owned) {
       return;
     }
     if (b->ledger.chunks == chunk) {
-      doubt_chunk(b->ledger);
+      mark_chunk_unknown(b->ledger);
     }
-    b->drop_listed();
-    b->group_became_whole = true;
+    b->mark_listed_finished();
+    b->group_completed = true;
     if (b->ledger.chunks == chunk) {
-      b->write_again_ms = http::now_ms() + failed_pause_ms;
+      b->next_write_ms = http::now_ms() + failed_pause_ms;
     }
-    self->maybe_write(*b, http::now_ms());
+    self->write_results_if_due(*b, http::now_ms());
   });
 }
 
 void
 manager::impl::on_chunk(const std::string& id, stored_chunk chunk)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr) {
     return;
   }
@@ -133,7 +135,7 @@
                       .with("total", b->stored.items));
   answer_readers(*b, http::now_ms());
   if (b->owned && chunk.epoch > b->epoch) {
-    disown(*b, "fenced");
+    drop_ownership(*b, "fenced");
   }
 }
 
@@ -143,7 +145,7 @@
                             std::uint64_t after)
 {
   const auto page = page_of(b.ledger, b.stored.items, after, page_bytes);
-  c.respond(answer(200, p.dialect.encode_page(page)));
+  c.respond(answer(200, deps.dialect.encode_page(page)));
 }
 
 void
@@ -170,11 +172,12 @@
 {
   const bool more = b.ledger.listed.size() > r.after;
   const bool knows_all =
-    b.complete || (b.owned && b.loaded && !b.doubted && is_settled(b.ledger));
+    b.complete ||
+    (b.owned && b.loaded && !b.owner_unconfirmed && is_settled(b.ledger));
   if (more || knows_all) {
     respond_page(r.caller, b, r.after);
   } else {
-    r.caller.respond(come_back(p.dialect));
+    r.caller.respond(retry_later(deps.dialect));
   }
 }
 
@@ -193,17 +196,17 @@
   o.connect_timeout_ms = peer_read_ms / 2;
   auto sent = std::make_shared<http::pending>();
   *sent =
-    p.http.fetch(b.stored.owner_address,
-                 ask,
-                 o,
-                 [self = shared_from_this(), caller, r](http::end_state end,
-                                                        http::response&& a) {
-                   if (end == http::end_state::complete && a.status == 200) {
-                     caller.respond(answer(200, std::move(a.body)));
-                     return;
-                   }
-                   self->read_from_store(caller, r);
-                 });
+    deps.http.fetch(b.stored.owner_address,
+                    ask,
+                    o,
+                    [self = shared_from_this(), caller, r](http::end_state end,
+                                                           http::response&& a) {
+                      if (end == http::end_state::complete && a.status == 200) {
+                        caller.respond(answer(200, std::move(a.body)));
+                        return;
+                      }
+                      self->read_from_store(caller, r);
+                    });
   caller.on_gone([sent] { sent->cancel(); });
 }
 
@@ -211,13 +214,13 @@
 manager::impl::read_from_store(const http::call& caller,
                                const edge::batch_request& r)
 {
-  auto* b = known(r.id);
+  auto* b = find_batch(r.id);
   const auto now = http::now_ms();
   if (b == nullptr) {
-    caller.respond(come_back(p.dialect));
+    caller.respond(retry_later(deps.dialect));
     return;
   }
-  if (now - b->looked_ms < chunk_look_ms &&
+  if (now - b->chunks_checked_ms < chunk_check_ms &&
       b->ledger.listed.size() >= r.after) {
     respond_page(caller, *b, r.after);
     return;
@@ -225,14 +228,14 @@
   // The read shows the state at the time it was started, however late its
   // answer is processed.
   load_chunks(r.id, [self = shared_from_this(), caller, r, now](bool ok) {
-    auto* found = self->known(r.id);
+    auto* found = self->find_batch(r.id);
     if (found != nullptr && ok) {
-      found->looked_ms = std::max(found->looked_ms, now);
+      found->chunks_checked_ms = std::max(found->chunks_checked_ms, now);
     }
     // Without an answer from the store, nothing is known about the positions
     // after the last known result.
     if (found == nullptr || (!ok && found->ledger.listed.size() <= r.after)) {
-      caller.respond(come_back(self->p.dialect));
+      caller.respond(retry_later(self->deps.dialect));
       return;
     }
     self->respond_page(caller, *found, r.after);
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -10,12 +10,12 @@
 
 // How often ended batches are checked for expiry, and how many are removed per
 // check: each removal takes about ten calls to the store.
-constexpr std::uint64_t look_ms = 1000;
-constexpr std::size_t removals_at_once = 2;
+constexpr std::uint64_t expiry_check_ms = 1000;
+constexpr std::size_t max_removals_per_check = 2;
 
 // The last owner removes a batch. If that owner is gone, another instance
 // removes the batch after this additional time.
-constexpr std::uint64_t others_wait_ms = 60000;
+constexpr std::uint64_t non_owner_delay_ms = 60000;
 
 } // namespace
 
@@ -24,18 +24,19 @@
 void
 manager::impl::remove_expired(std::uint64_t now)
 {
-  if (now - last_expiry_look < look_ms || leaving) {
+  if (now - last_expiry_check_ms < expiry_check_ms || leaving) {
     return;
   }
-  last_expiry_look = now;
+  last_expiry_check_ms = now;
   const auto wall = timeline::wall_ms();
   std::size_t begun = 0;
   for (auto& entry : batches) {
     auto& b = *entry.second;
-    const bool mine = b.stored.owner == p.instance;
-    const auto keep = p.keep_ms + (mine ? 0 : others_wait_ms);
+    const bool is_owner = b.stored.owner == deps.instance;
+    const auto keep = deps.retention_ms + (is_owner ? 0 : non_owner_delay_ms);
     const bool expired = wall > b.stored.accepted_wall_ms + keep;
-    if (b.stored.ended && expired && !b.removing && begun < removals_at_once) {
+    if (b.stored.ended && expired && !b.removing &&
+        begun < max_removals_per_check) {
       b.removing = true;
       ++begun;
       remove_chunk(entry.first, 0);
@@ -53,31 +54,32 @@
   c.op = store::operation::remove;
   c.kind = chunk_kind;
   c.name = chunk_name(id, chunk);
-  p.store.perform(c, [self = shared_from_this(), id, chunk](store::reply&& r) {
-    if (r.what == store::verdict::done) {
-      self->remove_chunk(id, chunk + 1);
-    } else if (r.what == store::verdict::missing) {
-      self->remove_rest(id);
-    } else if (auto* b = self->known(id)) {
-      b->removing = false;
-    }
-  });
+  deps.store.perform(c,
+                     [self = shared_from_this(), id, chunk](store::reply&& r) {
+                       if (r.what == store::verdict::done) {
+                         self->remove_chunk(id, chunk + 1);
+                       } else if (r.what == store::verdict::missing) {
+                         self->remove_progress_and_parts(id);
+                       } else if (auto* b = self->find_batch(id)) {
+                         b->removing = false;
+                       }
+                     });
 }
 
 void
-manager::impl::remove_rest(const std::string& id)
+manager::impl::remove_progress_and_parts(const std::string& id)
 {
   store::call text;
   text.op = store::operation::remove;
   text.kind = progress_kind;
   text.name = id;
-  p.store.perform(text, [self = shared_from_this(), id](store::reply&&) {
-    const auto* b = self->known(id);
+  deps.store.perform(text, [self = shared_from_this(), id](store::reply&&) {
+    const auto* b = self->find_batch(id);
     const auto parts = b == nullptr ? 0 : b->stored.parts;
     self->remove_parts(id, 0, parts, [self, id](bool gone) {
       if (gone) {
-        self->remove_head(id);
-      } else if (auto* kept = self->known(id)) {
+        self->remove_batch_object(id);
+      } else if (auto* kept = self->find_batch(id)) {
         kept->removing = false;
       }
     });
@@ -85,13 +87,13 @@
 }
 
 void
-manager::impl::remove_head(const std::string& id)
+manager::impl::remove_batch_object(const std::string& id)
 {
   store::call batch;
   batch.op = store::operation::remove;
   batch.kind = batch_kind;
   batch.name = id;
-  p.store.perform(batch, [self = shared_from_this(), id](store::reply&& r) {
+  deps.store.perform(batch, [self = shared_from_this(), id](store::reply&& r) {
     process::log_line(timeline::event{ "batch_removed" }
                         .with("batch", id)
                         .with("verdict", store::name_of(r.what)));
@@ -99,7 +101,7 @@
       r.what == store::verdict::done || r.what == store::verdict::missing;
     if (gone) {
       self->forget(id);
-    } else if (auto* b = self->known(id)) {
+    } else if (auto* b = self->find_batch(id)) {
       b->removing = false;
     }
   });
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -16,17 +16,17 @@
 constexpr std::uint64_t first_event_limit_ms = 1500;
 
 // Minimum time that a run stays on a slow engine before it is moved.
-constexpr std::uint64_t move_pause_ms = 600;
+constexpr std::uint64_t min_run_before_move_ms = 600;
 
 // A run that has produced text for this long is not blamed for the crash of its
 // engine, because poison requests crash an engine when they start. Engine
 // crashes for other reasons hit runs of any age, so this excludes most runs
 // that would be suspected wrongly.
-constexpr std::uint64_t settled_run_ms = 500;
+constexpr std::uint64_t healthy_run_ms = 500;
 
 // How often to check whether a quarantined item may run again. The check sends
 // no request.
-constexpr std::uint64_t kept_out_look_ms = 1000;
+constexpr std::uint64_t quarantine_check_ms = 1000;
 
 // Timeout for a single run of an item, longer than any run that engines allow.
 constexpr std::uint64_t run_limit_ms = 60000;
@@ -42,37 +42,37 @@
 } // namespace
 
 void
-manager::impl::plan_soon()
+manager::impl::schedule_dispatch()
 {
-  if (plan_posted) {
+  if (dispatch_scheduled) {
     return;
   }
-  plan_posted = true;
-  asio::post(p.io, [self = shared_from_this()] {
-    self->plan_posted = false;
-    self->plan();
+  dispatch_scheduled = true;
+  asio::post(deps.io, [self = shared_from_this()] {
+    self->dispatch_scheduled = false;
+    self->dispatch();
   });
 }
 
 // Returns the typical time between two events of an engine that is not slow.
 double
-manager::impl::usual_event_ms(const batch_state& b) const
+manager::impl::typical_event_gap_ms(const batch_state& b) const
 {
   // Used until a stream has been observed: what engines of this class need.
-  constexpr double before_any_ms = 40;
+  constexpr double default_gap_ms = 40;
   const auto route = route_to(b.stored.host, b.stored.target);
   if (route == nullptr || route->services.empty()) {
-    return before_any_ms;
+    return default_gap_ms;
   }
   const auto seen = backends::usual_pace_ms(
-    p.registry, route->services.front().service, http::now_ms());
-  return seen > 0 ? seen : before_any_ms;
+    deps.registry, route->services.front().service, http::now_ms());
+  return seen > 0 ? seen : default_gap_ms;
 }
 
 bool
 manager::impl::has_workspaces() const
 {
-  const auto table = p.table();
+  const auto table = deps.table();
   return table != nullptr && table->workspaces.has_value();
 }
 
@@ -80,16 +80,17 @@
 std::uint64_t
 manager::impl::expected_ms(const batch_state& b,
                            const item_state& i,
-                           double usual_event_ms) const
+                           double typical_event_gap_ms) const
 {
   const auto hint = b.submission.items[i.index].length_hint;
-  const auto made = usual_event_ms * static_cast<double>(i.text.events);
-  return expected_run_ms(pace, hint, static_cast<std::uint64_t>(made));
+  const auto elapsed_ms =
+    typical_event_gap_ms * static_cast<double>(i.text.events);
+  return expected_run_ms(pace, hint, static_cast<std::uint64_t>(elapsed_ms));
 }
 
 // Starts waiting items on engines, those with the least slack first.
 void
-manager::impl::plan()
+manager::impl::dispatch()
 {
   const auto now = http::now_ms();
   std::vector<batch_state*> open;
@@ -99,11 +100,13 @@
     if (!b.owned || !b.loaded || b.stored.ended || leaving) {
       continue;
     }
-    const auto usual = usual_event_ms(b);
+    const auto typical_gap_ms = typical_event_gap_ms(b);
     for (const auto& i : b.items) {
       if (i.stage == item_stage::waiting && i.not_before_ms <= now) {
-        waiting.push_back(
-          { open.size(), i.index, b.due_ms, expected_ms(b, i, usual) });
+        waiting.push_back({ open.size(),
+                            i.index,
+                            b.due_ms,
+                            expected_ms(b, i, typical_gap_ms) });
       }
     }
     open.push_back(&b);
@@ -111,18 +114,18 @@
   sort_by_slack(waiting);
   // If one item of a batch cannot be started, neither can the others of that
   // batch.
-  std::vector<bool> held(open.size(), false);
+  std::vector<bool> blocked(open.size(), false);
   for (const auto& w : waiting) {
     auto& b = *open[w.batch];
-    if (!held[w.batch]) {
+    if (!blocked[w.batch]) {
       const auto urgency = urgency_of(w.due_ms, w.expected_ms, now);
-      held[w.batch] = !launch(b, b.items[w.item], urgency);
+      blocked[w.batch] = !start_run(b, b.items[w.item], urgency);
     }
   }
 }
 
 bool
-manager::impl::launch(batch_state& b, item_state& i, std::uint32_t urgency)
+manager::impl::start_run(batch_state& b, item_state& i, std::uint32_t urgency)
 {
   const auto route = route_to(b.stored.host, b.stored.target);
   if (route == nullptr || route->services.empty()) {
@@ -135,9 +138,9 @@
   needs.min_version = b.submission.min_version;
   needs.only_version =
     route->single_version && i.text.events > 0 ? i.text.version : 0;
-  needs.not_on = i.not_on;
-  needs.data_centre = p.data_centre;
-  if (needs.only_version != 0 && !backends::can_serve(p.registry, needs)) {
+  needs.not_on = i.failed_on;
+  needs.data_centre = deps.data_centre;
+  if (needs.only_version != 0 && !backends::can_serve(deps.registry, needs)) {
     i.text = {};
     needs.only_version = 0;
   }
@@ -146,16 +149,16 @@
       { b.stored.host, "POST", item.path, b.stored.workspace, item.body });
   }
   const auto now = http::now_ms();
-  if (is_kept_out(b, i)) {
-    i.not_before_ms = now + kept_out_look_ms;
+  if (is_quarantined(b, i)) {
+    i.not_before_ms = now + quarantine_check_ms;
     return true;
   }
-  auto* backend = backends::choose_for_item(p.registry, needs, now);
+  auto* backend = backends::choose_for_item(deps.registry, needs, now);
   if (backend == nullptr) {
-    i.not_on.clear();
+    i.failed_on.clear();
     return false;
   }
-  const auto& names = p.dialect.headers;
+  const auto& names = deps.dialect.headers;
   http::request r;
   r.method = "POST";
   r.target = item.path;
@@ -190,7 +193,7 @@
   i.status = 0;
   i.not_run = false;
   i.events_in_run = 0;
-  i.reader = event_reader{ p.dialect.version_line };
+  i.reader = event_reader{ deps.dialect.version_line };
   ++i.tries;
   process::log_line(
     timeline::event{ "item_started" }
@@ -217,7 +220,7 @@
                      std::string_view d) { self->on_body(id, at, run, d); };
   events.on_end = [self, id = b.stored.id, at = i.index, run = i.run](
                     http::end_state e) { self->on_run_end(id, at, run, e); };
-  i.sent = p.http.send(backend->said.address, r, o, std::move(events));
+  i.pending = deps.http.send(backend->said.address, r, o, std::move(events));
   return true;
 }
 
@@ -227,16 +230,16 @@
 // that: it waits and its group stays incomplete, while the other items
 // continue.
 bool
-manager::impl::is_kept_out(const batch_state& b, const item_state& i)
+manager::impl::is_quarantined(const batch_state& b, const item_state& i)
 {
-  if (p.guard == nullptr) {
+  if (deps.guard == nullptr) {
     return false;
   }
-  const auto v = p.guard->judge(i.work, quarantine::run_kind::item);
+  const auto v = deps.guard->judge(i.work, quarantine::run_kind::item);
   if (v.what != quarantine::standing::refused) {
     return false;
   }
-  p.guard->note_refused();
+  deps.guard->note_refused();
   process::log_line(timeline::event{ "item_quarantined" }
                       .with("request", b.submission.items[i.index].id)
                       .with("work", i.work)
@@ -249,18 +252,18 @@
 // Reports the end of a run to the quarantine. The first response of an engine
 // that has run the item, successful or not, clears the item.
 void
-manager::impl::tell_guard(const item_state& i, http::end_state end)
+manager::impl::report_to_quarantine(const item_state& i, http::end_state end)
 {
-  if (p.guard == nullptr) {
+  if (deps.guard == nullptr) {
     return;
   }
   const auto now = http::now_ms();
-  const bool settled =
-    i.events_in_run > 0 && now - i.first_event_ms > settled_run_ms;
-  if (end == http::end_state::cut && !settled) {
-    p.guard->on_cut(i.backend, i.address, i.work);
+  const bool is_healthy =
+    i.events_in_run > 0 && now - i.first_event_ms > healthy_run_ms;
+  if (end == http::end_state::cut && !is_healthy) {
+    deps.guard->on_cut(i.backend, i.address, i.work);
   } else if (end == http::end_state::complete && !i.not_run) {
-    p.guard->on_answered(i.work);
+    deps.guard->on_answered(i.work);
   }
 }
 
@@ -269,7 +272,7 @@
                            std::size_t at,
                            std::uint64_t run)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || at >= b->items.size()) {
     return nullptr;
   }
@@ -288,20 +291,20 @@
   if (i == nullptr) {
     return;
   }
-  auto& b = *known(id);
-  const auto& names = p.dialect.headers;
+  auto& b = *find_batch(id);
+  const auto& names = deps.dialect.headers;
   constexpr int misdirected = 421;
   i->status = h.status;
   i->not_run =
     h.status == misdirected || http::find(h.fields, names.not_run).has_value();
-  auto* backend = backends::find(p.registry, i->backend);
+  auto* backend = backends::find(deps.registry, i->backend);
   const auto version = http::number(h.fields, names.weight_version);
   if (backend != nullptr && version) {
     backend->said.versions[b.submission.model] = *version;
   }
   if (backend != nullptr) {
     if (const auto text = http::find(h.fields, names.load)) {
-      if (const auto load = p.dialect.load_from(*text)) {
+      if (const auto load = deps.dialect.load_from(*text)) {
         backends::note_load(*backend, *load, http::now_ms());
       }
     }
@@ -311,14 +314,14 @@
     return;
   }
   const auto route = route_to(b.stored.host, b.stored.target);
-  const bool single = route != nullptr && route->single_version;
+  const bool is_single_version = route != nullptr && route->single_version;
   const bool too_old = version && *version < b.submission.min_version;
-  const bool mixed =
-    single && i->text.events > 0 && version && *version != i->text.version;
-  if (too_old || !version || mixed) {
+  const bool mixes_versions = is_single_version && i->text.events > 0 &&
+                              version && *version != i->text.version;
+  if (too_old || !version || mixes_versions) {
     // Text generated by these weights must not be part of the result.
     stop_run(*i);
-    if (mixed) {
+    if (mixes_versions) {
       i->text = {};
     }
     retry_item(b, *i, failed_pause_ms, "old_weights");
@@ -338,7 +341,7 @@
   if (i == nullptr || i->status != ok) {
     return;
   }
-  auto& b = *known(id);
+  auto& b = *find_batch(id);
   const auto now = http::now_ms();
   const auto events = i->reader.feed(data);
   if (events.empty()) {
@@ -352,7 +355,7 @@
                           .with("expected", i->text.last_event + 1)
                           .with("got", e.id));
       stop_run(*i);
-      i->not_on = i->backend.id;
+      i->failed_on = i->backend.id;
       retry_item(b, *i, failed_pause_ms, "broken_events");
       return;
     }
@@ -363,14 +366,14 @@
     retry_item(b, *i, failed_pause_ms, "old_weights");
     return;
   }
-  if (auto* backend = backends::find(p.registry, i->backend)) {
+  if (auto* backend = backends::find(deps.registry, i->backend)) {
     if (i->events_in_run > 0) {
       const auto gap = static_cast<double>(now - i->last_event_ms) /
                        static_cast<double>(events.size());
       backends::note_pace(*backend, gap, now);
     }
-    auto& said = backend->said.versions[b.submission.model];
-    said = std::max(said, i->text.version);
+    auto& known_version = backend->said.versions[b.submission.model];
+    known_version = std::max(known_version, i->text.version);
   }
   if (i->events_in_run == 0) {
     i->first_event_ms = now;
@@ -389,13 +392,13 @@
   if (i == nullptr) {
     return;
   }
-  auto& b = *known(id);
-  auto* backend = backends::find(p.registry, i->backend);
+  auto& b = *find_batch(id);
+  auto* backend = backends::find(deps.registry, i->backend);
   if (backend != nullptr) {
     --backend->in_flight;
   }
-  i->sent = {};
-  tell_guard(*i, end);
+  i->pending = {};
+  report_to_quarantine(*i, end);
   const bool complete = end == http::end_state::complete;
   constexpr int ok = 200;
   constexpr int unprocessable = 422;
@@ -406,11 +409,11 @@
       backend->failures = 0;
     }
     if (i->events_in_run == i->text.events) {
-      note_run(pace,
-               b.submission.items[at].length_hint,
-               http::now_ms() - i->started_ms);
+      record_run(pace,
+                 b.submission.items[at].length_hint,
+                 http::now_ms() - i->started_ms);
     }
-    on_text(b, *i);
+    on_text_complete(b, *i);
     return;
   }
   if (complete && i->not_run) {
@@ -424,7 +427,7 @@
     finish_item(b, *i, { b.submission.items[at].id, false, "", {}, "" });
     return;
   }
-  i->not_on = i->backend.id;
+  i->failed_on = i->backend.id;
   if (complete && i->status == server_error) {
     ++i->failed_runs;
     const auto route = route_to(b.stored.host, b.stored.target);
@@ -441,9 +444,9 @@
 void
 manager::impl::stop_run(item_state& i)
 {
-  i.sent.cancel();
-  i.sent = {};
-  if (auto* backend = backends::find(p.registry, i.backend)) {
+  i.pending.cancel();
+  i.pending = {};
+  if (auto* backend = backends::find(deps.registry, i.backend)) {
     --backend->in_flight;
   }
   i.stage = item_stage::waiting;
@@ -453,34 +456,34 @@
 manager::impl::retry_item(batch_state& b,
                           item_state& i,
                           std::uint64_t pause,
-                          std::string_view why)
+                          std::string_view reason)
 {
   const auto& item = b.submission.items[i.index];
   process::log_line(timeline::event{ "item_retried" }
                       .with("request", item.id)
                       .with("batch", b.stored.id)
                       .with("backend", i.backend.id)
-                      .with("why", why)
+                      .with("why", reason)
                       .with("status", static_cast<std::uint64_t>(i.status))
                       .with("events", i.text.events)
                       .with("tries", i.tries));
   i.stage = item_stage::waiting;
   i.not_before_ms = http::now_ms() + pause;
   if (pause == 0) {
-    plan_soon();
+    schedule_dispatch();
   }
 }
 
 // Runs on an incarnation that has crashed are lost, although their connections
 // may stay silent for seconds. Restarts them on other engines at once.
 void
-manager::impl::leave_ended_lives()
+manager::impl::restart_runs_of_ended_incarnations()
 {
   for (auto& entry : batches) {
     auto& b = *entry.second;
     for (auto& i : b.items) {
       if (i.stage == item_stage::running &&
-          backends::find(p.registry, i.backend) == nullptr) {
+          backends::find(deps.registry, i.backend) == nullptr) {
         stop_run(i);
         retry_item(b, i, 0, "backend_ended");
       }
@@ -489,18 +492,18 @@
 }
 
 void
-manager::impl::watch_runs(batch_state& b, std::uint64_t now)
+manager::impl::check_runs(batch_state& b, std::uint64_t now)
 {
-  const auto silence_limit = silence_limit_ms(usual_event_ms(b));
+  const auto silence_limit = silence_limit_ms(typical_event_gap_ms(b));
   for (auto& i : b.items) {
-    if (i.stage == item_stage::scoring && i.score_again_ms != 0 &&
-        i.score_again_ms <= now) {
-      want_score(b.stored.id, i.index);
+    if (i.stage == item_stage::scoring && i.score_retry_at_ms != 0 &&
+        i.score_retry_at_ms <= now) {
+      queue_score(b.stored.id, i.index);
     }
     if (i.stage != item_stage::running) {
       continue;
     }
-    auto* backend = backends::find(p.registry, i.backend);
+    auto* backend = backends::find(deps.registry, i.backend);
     if (backend == nullptr) {
       continue;
     }
@@ -509,14 +512,15 @@
     if (now - i.last_event_ms > limit) {
       backends::note_failure(*backend, now);
       stop_run(i);
-      i.not_on = i.backend.id;
+      i.failed_on = i.backend.id;
       retry_item(b, i, 0, "silent");
       continue;
     }
     const auto& service = backend->said.service;
-    const auto usual = backends::usual_pace_ms(p.registry, service, now);
-    const bool slow = backends::is_slow(*backend, usual, now) &&
-                      now - i.started_ms > move_pause_ms;
+    const auto typical_gap_ms =
+      backends::usual_pace_ms(deps.registry, service, now);
+    const bool slow = backends::is_slow(*backend, typical_gap_ms, now) &&
+                      now - i.started_ms > min_run_before_move_ms;
     if (!backend->said.leaving && !slow) {
       continue;
     }
@@ -525,13 +529,13 @@
     needs.model = b.submission.model;
     needs.min_version = b.submission.min_version;
     needs.not_on = i.backend.id;
-    needs.data_centre = p.data_centre;
-    auto* other = backends::choose_for_item(p.registry, needs, now);
-    if (other != nullptr && !backends::is_slow(*other, usual, now)) {
+    needs.data_centre = deps.data_centre;
+    auto* other = backends::choose_for_item(deps.registry, needs, now);
+    if (other != nullptr && !backends::is_slow(*other, typical_gap_ms, now)) {
       stop_run(i);
-      i.not_on = i.backend.id;
+      i.failed_on = i.backend.id;
       retry_item(b, i, 0, backend->said.leaving ? "leaving" : "slow");
-      plan();
+      dispatch();
     }
   }
 }
--- a/cactusford/batches/schedule-test.cc
+++ b/cactusford/batches/schedule-test.cc
@@ -25,26 +25,26 @@
 {
   token_pace p;
   for (int i = 0; i < 500; ++i) {
-    note_run(p, 1000, 1300);
+    record_run(p, 1000, 1300);
   }
   cr_assert_float_eq(p.ms, 1.3, 0.05);
   SECTION("one run that is far off hardly moves it")
   {
     const auto before = p.ms;
-    note_run(p, 10, 100000);
+    record_run(p, 10, 100000);
     cr_assert_lt(p.ms, before * 1.05);
   }
   SECTION("a text without an estimate says nothing")
   {
     const auto before = p;
-    note_run(p, 0, 5000);
+    record_run(p, 0, 5000);
     cr_assert(p == before);
   }
 }
 
 // Its owner was killed; the text so far was kept. Whoever goes on with it must
 // not put it behind the short ones because most of its estimate is made.
-Test(schedule, expects_more_of_what_outlived_its_estimate)
+Test(schedule, expects_more_time_for_runs_beyond_their_estimate)
 {
   const token_pace p{ 1.0 };
   cr_assert_eq(expected_run_ms(p, 1000), 1000);
--- a/cactusford/batches/schedule.h
+++ b/cactusford/batches/schedule.h
@@ -28,7 +28,7 @@
 // Updates the pace with a run that took `run_ms` and was expected to have
 // `hint` tokens.
 void
-note_run(token_pace& p, std::uint64_t hint, std::uint64_t run_ms);
+record_run(token_pace& p, std::uint64_t hint, std::uint64_t run_ms);
 
 // Returns the expected remaining time of a run that has already been generating
 // for `elapsed_ms`. A run that has exceeded its estimate belongs to the long
@@ -36,7 +36,7 @@
 std::uint64_t
 expected_run_ms(const token_pace& p,
                 std::uint64_t hint,
-                std::uint64_t made_ms = 0);
+                std::uint64_t elapsed_ms = 0);
 
 // Returns how long a run may go without an event before it is moved to another
 // engine, given the typical time between two events (0 if unknown).
@@ -45,7 +45,7 @@
 // second, while the longest texts of a step have half a second of slack. Moving
 // a run costs processing its text so far on the other engine, about 40 ms.
 std::uint64_t
-silence_limit_ms(double usual_event_ms);
+silence_limit_ms(double typical_event_gap_ms);
 
 // Returns the urgency of a run, from 0 to 9, for an engine that has more runs
 // than it can execute at once; lower values are more urgent. `expected_ms` is
--- a/cactusford/batches/score_limit-test.cc
+++ b/cactusford/batches/score_limit-test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t places = 36;
+constexpr std::size_t slots = 36;
 
 } // namespace
 
@@ -26,58 +26,56 @@
     const auto now = round * 80;
     std::size_t running = 0;
     for (auto& l : owners) {
-      while (may_start(l)) {
-        note_start(l);
+      while (can_start(l)) {
+        on_call_start(l);
       }
-      running += l.under_way;
+      running += l.in_flight;
     }
-    const auto full = running > places ? running - places : 0;
+    const auto full = running > slots ? running - slots : 0;
     refused += full;
     scored += running - full;
     std::size_t left_to_refuse = full;
     for (auto& l : owners) {
-      while (l.under_way > 0) {
+      while (l.in_flight > 0) {
         const bool is_refused = left_to_refuse > 0;
         left_to_refuse -= is_refused ? 1 : 0;
-        note_end(l,
-                 is_refused ? score_end::refused : score_end::answered,
-                 places,
-                 now);
+        on_call_end(
+          l, is_refused ? score_end::refused : score_end::answered, slots, now);
       }
     }
   }
   cr_assert_leq(refused, scored / 10);
-  cr_assert_geq(scored, 50 * places / 2, "the places are used");
+  cr_assert_geq(scored, 50 * slots / 2, "the places are used");
 }
 
 Test(score_limit, leaves_places_to_callers)
 {
   score_limit l;
   for (std::uint64_t i = 0; i < 10'000; ++i) {
-    note_start(l);
-    note_end(l, score_end::answered, places, i);
+    on_call_start(l);
+    on_call_end(l, score_end::answered, slots, i);
   }
-  cr_assert_leq(l.limit, 0.75 * places);
+  cr_assert_leq(l.limit, 0.75 * slots);
   SECTION("refusals that come together count once")
   {
     const auto before = l.limit;
     for (int i = 0; i < 10; ++i) {
-      note_end(l, score_end::refused, places, 20'000);
+      on_call_end(l, score_end::refused, slots, 20'000);
     }
     cr_assert_geq(l.limit, before / 2);
   }
   SECTION("it never stops altogether")
   {
     for (std::uint64_t i = 0; i < 100; ++i) {
-      note_end(l, score_end::refused, places, 20'000 + 1000 * i);
+      on_call_end(l, score_end::refused, slots, 20'000 + 1000 * i);
     }
-    cr_assert(may_start(l));
+    cr_assert(can_start(l));
   }
   SECTION("a call that was given up frees its place and says nothing more")
   {
     auto given_up = l;
-    note_start(given_up);
-    note_end(given_up, score_end::cancelled, places, 20'000);
+    on_call_start(given_up);
+    on_call_end(given_up, score_end::cancelled, slots, 20'000);
     cr_assert_eq(given_up.limit, l.limit);
   }
 }
--- a/cactusford/batches/score_limit.cc
+++ b/cactusford/batches/score_limit.cc
@@ -6,42 +6,46 @@
 
 namespace {
 
-constexpr double least = 2;
-constexpr double cut = 0.67;
+constexpr double min_limit = 2;
+constexpr double decrease_factor = 0.67;
 
 // The refusals of a burst arrive within the duration of one or two calls.
-constexpr std::uint64_t settle_ms = 200;
+constexpr std::uint64_t decrease_interval_ms = 200;
 
 // Share of a service's slots that is always left to callers.
-constexpr double kept_for_callers = 0.25;
+constexpr double reserved_for_callers = 0.25;
 
 } // namespace
 
 bool
-may_start(const score_limit& l)
+can_start(const score_limit& l)
 {
-  return static_cast<double>(l.under_way) + 1 <= l.limit;
+  return static_cast<double>(l.in_flight) + 1 <= l.limit;
 }
 
 void
-note_start(score_limit& l)
+on_call_start(score_limit& l)
 {
-  ++l.under_way;
+  ++l.in_flight;
 }
 
 void
-note_end(score_limit& l, score_end e, std::size_t places, std::uint64_t now_ms)
+on_call_end(score_limit& l,
+            score_end e,
+            std::size_t slots,
+            std::uint64_t now_ms)
 {
-  l.under_way -= l.under_way > 0 ? 1 : 0;
+  l.in_flight -= l.in_flight > 0 ? 1 : 0;
   if (e == score_end::answered) {
     l.limit += 1 / l.limit;
-  } else if (e == score_end::refused && now_ms >= l.settled_ms) {
-    l.limit *= cut;
-    l.settled_ms = now_ms + settle_ms;
+  } else if (e == score_end::refused && now_ms >= l.next_decrease_ms) {
+    l.limit *= decrease_factor;
+    l.next_decrease_ms = now_ms + decrease_interval_ms;
   }
-  const auto most = static_cast<double>(places) * (1 - kept_for_callers);
-  l.limit = places > 0 ? std::min(l.limit, most) : l.limit;
-  l.limit = std::max(l.limit, least);
+  const auto max_limit =
+    static_cast<double>(slots) * (1 - reserved_for_callers);
+  l.limit = slots > 0 ? std::min(l.limit, max_limit) : l.limit;
+  l.limit = std::max(l.limit, min_limit);
 }
 
 } // namespace cactusford::batches
--- a/cactusford/batches/score_limit.h
+++ b/cactusford/batches/score_limit.h
@@ -20,19 +20,19 @@
 struct score_limit
 {
   double limit = 8;
-  std::size_t under_way = 0;
+  std::size_t in_flight = 0;
   // The limit is not decreased again before this time, because refusals arrive
   // in bursts.
-  std::uint64_t settled_ms = 0;
+  std::uint64_t next_decrease_ms = 0;
 
   friend bool operator==(const score_limit&, const score_limit&) = default;
 };
 
 bool
-may_start(const score_limit& l);
+can_start(const score_limit& l);
 
 void
-note_start(score_limit& l);
+on_call_start(score_limit& l);
 
 enum class score_end
 {
@@ -45,6 +45,9 @@
 
 // `slots` is the number of slots of the service, or 0 if unknown.
 void
-note_end(score_limit& l, score_end e, std::size_t places, std::uint64_t now_ms);
+on_call_end(score_limit& l,
+            score_end e,
+            std::size_t slots,
+            std::uint64_t now_ms);
 
 } // namespace cactusford::batches
--- a/cactusford/batches/score_queue-test.cc
+++ b/cactusford/batches/score_queue-test.cc
@@ -49,7 +49,7 @@
   }
   SECTION("when it has ended, the next one goes")
   {
-    note_suspect_ended(q);
+    on_suspect_finished(q);
     const auto next = take_next(q, is_suspect);
     cr_assert(next->is_suspect);
     cr_assert_eq(next->text.at, 1);
--- a/cactusford/batches/score_queue.cc
+++ b/cactusford/batches/score_queue.cc
@@ -16,21 +16,21 @@
 {
   for (auto at = q.waiting.begin(); at != q.waiting.end(); ++at) {
     const bool suspect = is_suspect(*at);
-    if (suspect && q.suspect_is_under_way) {
+    if (suspect && q.suspect_in_flight) {
       continue;
     }
     next_score next{ std::move(*at), suspect };
     q.waiting.erase(at);
-    q.suspect_is_under_way = q.suspect_is_under_way || suspect;
+    q.suspect_in_flight = q.suspect_in_flight || suspect;
     return next;
   }
   return std::nullopt;
 }
 
 void
-note_suspect_ended(score_queue& q)
+on_suspect_finished(score_queue& q)
 {
-  q.suspect_is_under_way = false;
+  q.suspect_in_flight = false;
 }
 
 } // namespace cactusford::batches
--- a/cactusford/batches/score_queue.h
+++ b/cactusford/batches/score_queue.h
@@ -31,7 +31,7 @@
 {
   // In the order of arrival.
   std::deque<unscored_text> waiting;
-  bool suspect_is_under_way = false;
+  bool suspect_in_flight = false;
 
   friend bool operator==(const score_queue&, const score_queue&) = default;
 };
@@ -55,6 +55,6 @@
           const std::function<bool(const unscored_text&)>& is_suspect);
 
 void
-note_suspect_ended(score_queue& q);
+on_suspect_finished(score_queue& q);
 
 } // namespace cactusford::batches
--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -16,14 +16,14 @@
 
 // Maximum number of texts kept from ended batches. Their items may be submitted
 // again in a later batch.
-constexpr std::size_t carried_limit = 2000;
+constexpr std::size_t max_reusable_texts = 2000;
 
 // Delay before a scorer call that was not answered is repeated.
-constexpr std::uint64_t scorer_pause_ms = 80;
+constexpr std::uint64_t score_retry_ms = 80;
 
 // How often to check whether a quarantined scorer call may be made again. The
 // check sends no request.
-constexpr std::uint64_t kept_out_look_ms = 1000;
+constexpr std::uint64_t quarantine_check_ms = 1000;
 
 http::request
 request_of(const scorer_call& call)
@@ -36,7 +36,7 @@
 // Called when the text of an item is complete. The item has a result once the
 // scorer has answered.
 void
-manager::impl::on_text(batch_state& b, item_state& i)
+manager::impl::on_text_complete(batch_state& b, item_state& i)
 {
   const auto& item = b.submission.items[i.index];
   if (!item.scorer) {
@@ -45,28 +45,28 @@
   }
   i.stage = item_stage::scoring;
   i.score_tries = 0;
-  want_score(b.stored.id, i.index);
-  plan_soon();
+  queue_score(b.stored.id, i.index);
+  schedule_dispatch();
 }
 
 void
-manager::impl::want_score(const std::string& id, std::size_t at)
+manager::impl::queue_score(const std::string& id, std::size_t at)
 {
-  known(id)->items[at].score_again_ms = 0;
+  find_batch(id)->items[at].score_retry_at_ms = 0;
   add(unscored, { id, at });
-  start_scores();
+  start_queued_scores();
 }
 
 void
-manager::impl::start_scores()
+manager::impl::start_queued_scores()
 {
-  while (may_start(scores)) {
+  while (can_start(score_limiter)) {
     const auto next = take_next(
       unscored, [this](const unscored_text& t) { return is_suspect(t); });
     if (!next) {
       return;
     }
-    score(*next);
+    start_score_call(*next);
   }
 }
 
@@ -75,67 +75,67 @@
 bool
 manager::impl::is_suspect(const unscored_text& t)
 {
-  const auto* b = known(t.batch);
-  if (p.guard == nullptr || b == nullptr || !b->owned ||
+  const auto* b = find_batch(t.batch);
+  if (deps.guard == nullptr || b == nullptr || !b->owned ||
       t.at >= b->items.size()) {
     return false;
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto v = p.guard->judge(work, quarantine::run_kind::call);
+  const auto v = deps.guard->judge(work, quarantine::run_kind::call);
   return quarantine::has_ends(v) && v.what != quarantine::standing::refused;
 }
 
 // Returns the total number of slots of the route's servers.
 std::size_t
-manager::impl::places_of(const routes::route& r) const
+manager::impl::slots_of(const routes::route& r) const
 {
-  std::size_t places = 0;
-  for (const auto& [id, b] : p.registry.all) {
-    const bool is_of_it = std::any_of(
+  std::size_t slots = 0;
+  for (const auto& [id, b] : deps.registry.all) {
+    const bool serves_route = std::any_of(
       r.services.begin(), r.services.end(), [&b = b](const auto& s) {
         return s.service == b.said.service;
       });
-    places += is_of_it && !b.said.leaving ? b.said.slots : 0;
+    slots += serves_route && !b.said.leaving ? b.said.slots : 0;
   }
-  return places;
+  return slots;
 }
 
 // Lets the next suspect call start if this call was the suspect in flight.
 void
-manager::impl::release(const next_score& next)
+manager::impl::release_suspect(const next_score& next)
 {
   if (next.is_suspect) {
-    note_suspect_ended(unscored);
+    on_suspect_finished(unscored);
   }
 }
 
 void
-manager::impl::end_score(const next_score& next,
-                         score_end end,
-                         std::size_t places)
+manager::impl::end_score_call(const next_score& next,
+                              score_end end,
+                              std::size_t slots)
 {
-  note_end(scores, end, places, http::now_ms());
-  release(next);
+  on_call_end(score_limiter, end, slots, http::now_ms());
+  release_suspect(next);
 }
 
 void
-manager::impl::score(const next_score& next)
+manager::impl::start_score_call(const next_score& next)
 {
   const auto& [id, at] = next.text;
-  auto* b = known(id);
+  auto* b = find_batch(id);
   const bool is_wanted = b != nullptr && b->owned && at < b->items.size() &&
                          b->items[at].stage == item_stage::scoring;
   if (!is_wanted) {
-    release(next);
+    release_suspect(next);
     return;
   }
   auto& i = b->items[at];
   const auto& call = *b->submission.items[at].scorer;
   const auto route = route_to(call.host, call.path);
   if (route == nullptr) {
-    i.score_again_ms = http::now_ms() + scorer_pause_ms;
-    release(next);
+    i.score_retry_at_ms = http::now_ms() + score_retry_ms;
+    release_suspect(next);
     return;
   }
   edge::forward_request f;
@@ -146,25 +146,25 @@
   f.route.kind = routes::call_kind::idempotent;
   f.ends_with_a_cut = true;
   f.request = request_of(call);
-  f.request.fields.push_back({ p.dialect.headers.request_id, call.id });
+  f.request.fields.push_back({ deps.dialect.headers.request_id, call.id });
   f.give_up_ms = http::now_ms() + route->timeout_ms;
-  i.score_again_ms = 0;
+  i.score_retry_at_ms = 0;
   ++i.score_tries;
-  note_start(scores);
-  const auto cancel = p.forwarder.start(
+  on_call_start(score_limiter);
+  const auto cancel = deps.forwarder.start(
     std::move(f),
-    [self = shared_from_this(), next, places = places_of(*route)](
+    [self = shared_from_this(), next, slots = slots_of(*route)](
       edge::forward_outcome&& o) {
       const bool is_full =
         o.refusals > 0 || o.what == edge::forward_end::unknown;
-      self->end_score(
-        next, is_full ? score_end::refused : score_end::answered, places);
+      self->end_score_call(
+        next, is_full ? score_end::refused : score_end::answered, slots);
       self->on_scored(next.text.batch, next.text.at, std::move(o));
-      self->start_scores();
+      self->start_queued_scores();
     });
   i.cancel_score = [self = shared_from_this(), cancel, next] {
     cancel();
-    self->end_score(next, score_end::cancelled, 0);
+    self->end_score_call(next, score_end::cancelled, 0);
   };
 }
 
@@ -173,7 +173,7 @@
                          std::size_t at,
                          edge::forward_outcome&& o)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || !b->owned || b->items[at].stage != item_stage::scoring) {
     return;
   }
@@ -184,7 +184,7 @@
   const bool success =
     answered && o.answer.status >= 200 && o.answer.status < 300;
   const auto signature =
-    http::find(o.answer.fields, p.dialect.headers.signature);
+    http::find(o.answer.fields, deps.dialect.headers.signature);
   if (success && signature) {
     finish_item(*b,
                 i,
@@ -205,16 +205,16 @@
     finish_item(*b, i, { item.id, false, "", {}, "" });
     return;
   }
-  const bool kept_out = o.what == edge::forward_end::quarantined;
-  if (kept_out) {
+  const bool quarantined = o.what == edge::forward_end::quarantined;
+  if (quarantined) {
     process::log_line(timeline::event{ "item_score_quarantined" }
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
                         .with("ends", o.ends)
                         .with("come_back_ms", o.come_back_ms));
   }
-  i.score_again_ms =
-    http::now_ms() + (kept_out ? kept_out_look_ms : scorer_pause_ms);
+  i.score_retry_at_ms =
+    http::now_ms() + (quarantined ? quarantine_check_ms : score_retry_ms);
 }
 
 void
@@ -229,13 +229,13 @@
                       .with("events", i.text.events)
                       .with("tries", i.tries));
   add_result(b.ledger, std::move(r), now);
-  b.note_finished(i.index, now);
-  maybe_write(b, now);
-  plan_soon();
+  b.on_item_finished(i.index, now);
+  write_results_if_due(b, now);
+  schedule_dispatch();
 }
 
 void
-manager::impl::give_up_late(batch_state& b)
+manager::impl::give_up_expired_items(batch_state& b)
 {
   const auto route = route_to(b.stored.host, b.stored.target);
   const auto wall = timeline::wall_ms();
@@ -259,12 +259,12 @@
 // Items of incomplete groups are submitted again in a later batch. Reuses their
 // saved text if it was generated by new enough weights.
 void
-manager::impl::reuse_carried(batch_state& b)
+manager::impl::reuse_saved_texts(batch_state& b)
 {
   for (auto& i : b.items) {
     const auto& item = b.submission.items[i.index];
-    const auto found = carried.find(item.id);
-    if (found == carried.end() || i.stage != item_stage::waiting) {
+    const auto found = reusable_texts.find(item.id);
+    if (found == reusable_texts.end() || i.stage != item_stage::waiting) {
       continue;
     }
     const auto& text = found->second.text;
@@ -276,26 +276,26 @@
       continue;
     }
     i.text = text;
-    if (found->second.whole) {
-      on_text(b, i);
+    if (found->second.complete) {
+      on_text_complete(b, i);
     }
   }
 }
 
 void
-manager::impl::remember(batch_state& b)
+manager::impl::save_texts_for_reuse(batch_state& b)
 {
   if (!b.owned) {
     return;
   }
-  if (carried.size() > carried_limit) {
-    carried.clear();
+  if (reusable_texts.size() > max_reusable_texts) {
+    reusable_texts.clear();
   }
   for (const auto& i : b.items) {
-    const bool whole =
+    const bool complete =
       i.stage == item_stage::scoring || i.stage == item_stage::finished;
     if (i.text.events > 0) {
-      carried[b.submission.items[i.index].id] = { i.text, whole };
+      reusable_texts[b.submission.items[i.index].id] = { i.text, complete };
     }
   }
 }
--- a/cactusford/batches/state.cc
+++ b/cactusford/batches/state.cc
@@ -17,34 +17,34 @@
     items[at].reader = event_reader{ version_line };
     index_of[submission.items[at].id] = at;
   }
-  recount();
+  recount_unfinished();
 }
 
 void
-batch_state::release()
+batch_state::drop_submission()
 {
   has_submission = false;
   submission = {};
   items.clear();
   index_of.clear();
-  missing.clear();
+  unfinished_by_group.clear();
 }
 
 void
-batch_state::recount()
+batch_state::recount_unfinished()
 {
-  missing.clear();
+  unfinished_by_group.clear();
   for (const auto& i : items) {
-    auto& left = missing[submission.items[i.index].group];
+    auto& left = unfinished_by_group[submission.items[i.index].group];
     left += i.stage == item_stage::finished ? 0 : 1;
   }
 }
 
 std::size_t
-batch_state::whole_groups() const
+batch_state::complete_groups() const
 {
-  return static_cast<std::size_t>(
-    std::count_if(missing.begin(), missing.end(), [](const auto& g) {
+  return static_cast<std::size_t>(std::count_if(
+    unfinished_by_group.begin(), unfinished_by_group.end(), [](const auto& g) {
       return g.second == 0;
     }));
 }
@@ -56,7 +56,7 @@
 }
 
 void
-batch_state::drop_listed()
+batch_state::mark_listed_finished()
 {
   for (const auto& r : ledger.listed) {
     const auto found = index_of.find(r.id);
@@ -66,19 +66,19 @@
     auto& i = items[found->second];
     if (i.stage == item_stage::waiting) {
       i.stage = item_stage::finished;
-      note_finished(i.index, 0);
+      on_item_finished(i.index, 0);
     }
   }
-  group_became_whole = false;
+  group_completed = false;
 }
 
 void
-batch_state::note_finished(std::size_t index, std::uint64_t now_ms)
+batch_state::on_item_finished(std::size_t index, std::uint64_t now_ms)
 {
-  auto& left = missing[submission.items[index].group];
+  auto& left = unfinished_by_group[submission.items[index].group];
   if (left > 0 && --left == 0) {
-    whole_since_ms = group_became_whole ? whole_since_ms : now_ms;
-    group_became_whole = true;
+    group_completed_ms = group_completed ? group_completed_ms : now_ms;
+    group_completed = true;
   }
 }
 
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -36,7 +36,7 @@
   std::uint32_t failed_scores = 0;
   std::uint64_t not_before_ms = 0;
   // The engine on which the item's last run failed.
-  std::string not_on;
+  std::string failed_on;
   // Fingerprint of the item's request, independent of its id; set by the first
   // run.
   quarantine::fingerprint work;
@@ -45,7 +45,7 @@
   std::uint64_t run = 0;
   backends::life backend;
   std::string address;
-  http::pending sent;
+  http::pending pending;
   event_reader reader{ "" };
   int status = 0;
   bool not_run = false;
@@ -56,7 +56,7 @@
 
   // The scorer call.
   std::uint32_t score_tries = 0;
-  std::uint64_t score_again_ms = 0;
+  std::uint64_t score_retry_at_ms = 0;
   std::function<void()> cancel_score;
 };
 
@@ -68,10 +68,10 @@
 };
 
 // Text of an item whose batch has ended, for reuse in a later batch.
-struct carried_item
+struct reusable_text
 {
   item_text text;
-  bool whole = false;
+  bool complete = false;
 };
 
 struct batch_state
@@ -80,24 +80,24 @@
   void set(submission s, const std::string& version_line);
 
   // Drops the submission and its items; none of them can run any more.
-  void release();
+  void drop_submission();
 
   // Returns true if the batch has not ended.
   bool is_open() const;
 
   // Marks waiting items that have a listed result as finished. Does not stop
   // any runs.
-  void drop_listed();
+  void mark_listed_finished();
 
   // Recalculates the number of unfinished items of each group.
-  void recount();
+  void recount_unfinished();
 
   // Returns the number of groups in which every item has a result.
-  std::size_t whole_groups() const;
+  std::size_t complete_groups() const;
 
   // Called when an item has its result; records whether that completes its
   // group.
-  void note_finished(std::size_t index, std::uint64_t now_ms);
+  void on_item_finished(std::size_t index, std::uint64_t now_ms);
 
   const item* find_item(const std::string& id) const;
 
@@ -105,42 +105,42 @@
   bool has_submission = false;
   // Called with true when the submission has been read, or with false if that
   // failed.
-  std::vector<std::function<void(bool)>> want_submission;
+  std::vector<std::function<void(bool)>> submission_waiters;
   batches::submission submission;
   std::vector<item_state> items;
   std::unordered_map<std::string, std::size_t> index_of;
   // Number of items without a result, by group.
-  std::map<std::string, std::size_t> missing;
+  std::map<std::string, std::size_t> unfinished_by_group;
   batches::ledger ledger;
   std::vector<waiting_reader> readers;
   // This instance owns the batch; and it has read all of its chunks.
   bool owned = false;
   bool loaded = false;
-  bool load_again = false;
+  bool load_pending = false;
   // The batch ended while this instance owned it and knew all of its chunks, so
   // no more results will be listed.
   bool complete = false;
   // Another instance may own the batch by now. Until the store has confirmed
   // the owner, no reader is told that there are no more results.
-  bool doubted = false;
-  bool verifying = false;
+  bool owner_unconfirmed = false;
+  bool confirming_owner = false;
   bool taking_over = false;
   bool removing = false;
-  bool group_became_whole = false;
+  bool group_completed = false;
   // Revision of the batch object at which this instance became the owner.
   std::uint64_t epoch = 0;
   // On the steady clock.
   std::uint64_t due_ms = 0;
   // When the oldest complete group that is not yet written was completed.
-  std::uint64_t whole_since_ms = 0;
+  std::uint64_t group_completed_ms = 0;
   // The saved text of running items: when it was last written, whether a write
   // is in progress, and whether the object exists in the store.
-  std::uint64_t saved_ms = 0;
+  std::uint64_t last_save_ms = 0;
   bool saving = false;
-  bool has_saved = false;
+  bool has_stored_progress = false;
   std::uint64_t owner_since_ms = 0;
-  std::uint64_t write_again_ms = 0;
-  std::uint64_t looked_ms = 0;
+  std::uint64_t next_write_ms = 0;
+  std::uint64_t chunks_checked_ms = 0;
 };
 
 } // namespace cactusford::batches::detail
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -23,10 +23,10 @@
 constexpr std::string_view batch_id = "batch-1";
 
 // Longer than any step here takes; reached only when something hangs.
-constexpr std::uint64_t hang_ms = 30000;
+constexpr std::uint64_t hang_timeout_ms = 30000;
 
 inline routes::table_ptr
-table_of_tests()
+test_route_table()
 {
   auto t = std::make_shared<routes::table>();
   routes::route batch;
@@ -49,7 +49,7 @@
 }
 
 // Long enough for every test that reads, short enough to wait for.
-constexpr std::uint64_t keep_ms = 2000;
+constexpr std::uint64_t retention_ms = 2000;
 
 struct entry
 {
@@ -57,7 +57,7 @@
   http::client http{ io };
   edge::dialect dialect = standins::plain_dialect();
   backends::registry registry;
-  routes::table_ptr table = table_of_tests();
+  routes::table_ptr table = test_route_table();
   http::server peer;
   http::server front;
   store::client store;
@@ -68,13 +68,13 @@
   std::unique_ptr<store::watcher> watcher;
   bool running = true;
   // The largest entries, as it has heard.
-  std::vector<membership::member> others;
+  std::vector<membership::member> largest_entries;
   // Does not tell others that it lives.
-  bool is_mute = false;
+  bool ignores_probes = false;
   // Takes no submission that is passed on; or does not answer to one.
-  bool refuses_batches = false;
-  bool hides_acceptance = false;
-  int alive_answers = 0;
+  bool refuses_submissions = false;
+  bool ignores_submissions = false;
+  int answered_probes = 0;
   std::vector<http::call> unanswered;
 
   entry(const std::string& name, const std::string& store_address)
@@ -97,9 +97,9 @@
                                      name,
                                      "127.0.0.1:" + std::to_string(peer.port()),
                                      "a",
-                                     keep_ms,
+                                     retention_ms,
                                      1,
-                                     [this] { return others; },
+                                     [this] { return largest_entries; },
                                      &guard });
     watcher = std::make_unique<store::watcher>(
       io,
@@ -125,10 +125,10 @@
   {
     const auto path = http::path_of(c.request().target);
     if (path == batches::peer_alive_path) {
-      if (is_mute) {
+      if (ignores_probes) {
         unanswered.push_back(c);
       } else {
-        ++alive_answers;
+        ++answered_probes;
         c.respond({ batch_manager->can_own() ? 200 : 503, {}, "" });
       }
       return;
@@ -139,9 +139,9 @@
     }
     if (path.starts_with(batches::peer_forwarded_path)) {
       const auto id = path.substr(batches::peer_forwarded_path.size());
-      if (refuses_batches) {
+      if (refuses_submissions) {
         c.respond({ 421, {}, "" });
-      } else if (hides_acceptance) {
+      } else if (ignores_submissions) {
         unanswered.push_back(c);
       } else {
         batch_manager->on_submission_forwarded(c, std::string{ id });
@@ -184,11 +184,11 @@
     }
   }
 
-  void know(const std::string& id,
-            const std::string& service,
-            const std::string& address,
-            std::uint64_t version,
-            std::uint64_t started_ms = 1)
+  void announce_backend(const std::string& id,
+                        const std::string& service,
+                        const std::string& address,
+                        std::uint64_t version,
+                        std::uint64_t started_ms = 1)
   {
     backends::announcement a;
     a.id = id;
@@ -202,7 +202,7 @@
   }
 };
 
-struct world
+struct batch_cluster
 {
   asio::io_context io;
   object_store store{ io };
@@ -213,7 +213,7 @@
   // On whose behalf the caller asks.
   std::string workspace;
 
-  explicit world(int count)
+  explicit batch_cluster(int count)
   {
     for (int i = 0; i < count; ++i) {
       add_entry("entry-" + std::to_string(i));
@@ -228,14 +228,15 @@
   entry& add_entry(const std::string& name)
   {
     entries.push_back(std::make_unique<entry>(name, store.address()));
-    entries.back()->know("e1", "engines", engine.address(), engine.version);
-    entries.back()->know("s1", "scorers", scorer.address(), 0);
+    entries.back()->announce_backend(
+      "e1", "engines", engine.address(), engine.version);
+    entries.back()->announce_backend("s1", "scorers", scorer.address(), 0);
     return *entries.back();
   }
 
   void run_until(const std::function<bool()>& done)
   {
-    const auto limit = http::now_ms() + hang_ms;
+    const auto limit = http::now_ms() + hang_timeout_ms;
     while (!done()) {
       cr_assert_lt(http::now_ms(), limit, "it hangs");
       std::size_t ran = io.poll();
@@ -262,7 +263,7 @@
                        { "Workspace", workspace } },
                      body };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       e.front_address(), r, o, [&](http::end_state, http::response&& a) {
         status = a.status;
@@ -285,7 +286,7 @@
                        { "After", std::to_string(after) } },
                      "" };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       e.front_address(), r, o, [&](http::end_state, http::response&& a) {
         if (a.status == 200) {
@@ -298,7 +299,7 @@
   }
 
   // Reads until all items are listed.
-  json read_whole(entry& e, std::size_t total)
+  json read_all(entry& e, std::size_t total)
   {
     json all = json::array();
     while (all.size() < total) {
@@ -332,17 +333,17 @@
   // Until the others have heard that it lives.
   void wait_until_seen(entry& e)
   {
-    const auto asked = e.alive_answers;
-    run_until([&] { return e.alive_answers >= asked + 2; });
+    const auto asked = e.answered_probes;
+    run_until([&] { return e.answered_probes >= asked + 2; });
   }
 
   // Passes a submission on as another entry would; the answer's status.
-  int pass_on(entry& e, http::headers fields, const std::string& body)
+  int forward(entry& e, http::headers fields, const std::string& body)
   {
     int status = 0;
     http::request r{ "POST", "/passed/batch-x", std::move(fields), body };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       "127.0.0.1:" + std::to_string(e.peer.port()),
       r,
@@ -385,7 +386,7 @@
 
 // Each item stands once, whole, scored by its own call.
 inline void
-check_whole(const json& all, const stream_engine& engine)
+check_results(const json& all, const stream_engine& engine)
 {
   std::set<std::string> seen;
   for (const auto& r : all) {
