--- a/cactusford/batches/engine_usage-test.cc
+++ b/cactusford/batches/engine_usage-test.cc
@@ -1,4 +1,4 @@
-#include "cactusford/batches/engine_usage.h"
+#include "cactusford/batches/engine_use.h"
 
 #include "cactusford/backends/registry.h"
 #include "cactusford/testing/section.h"
--- a/cactusford/batches/manager_impl.h
+++ b/cactusford/batches/manager_impl.h
@@ -1,7 +1,7 @@
 // Implementation class of the batch manager, shared by its source files.
 #pragma once
 
-#include "cactusford/batches/engine_usage.h"
+#include "cactusford/batches/engine_use.h"
 #include "cactusford/batches/manager.h"
 #include "cactusford/batches/placement.h"
 #include "cactusford/batches/progress.h"
