--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -30,7 +30,8 @@
   return r;
 }
 
-// Takes places until none is left, as an owner at the beginning of a step.
+// Reserves slots until none is left, as an owner does at the start of a step.
+// Returns the number of placed items.
 std::size_t
 place_items(backends::registry& r, std::size_t items, std::uint64_t now)
 {
@@ -62,9 +63,10 @@
 
 } // namespace
 
-// One owner has sixty items running when another begins a step. Without its
-// word the other sends eighty to engines that have places for twenty-four.
-Test(engine_usage, owners_respect_each_others_slots)
+// One owner has sixty running items when another starts a step. Without the
+// first one's report, the second sends eighty items to engines that have 24
+// free slots.
+Test(engine_use, owners_respect_each_others_slots)
 {
   constexpr std::uint64_t now = 10'000;
   auto first = fourteen_engines();
@@ -74,13 +76,13 @@
   record_report(usage, { "first", runs_of(first) }, now);
   backends::note_told(second, total_runs(usage, now), now);
   cr_assert_eq(place_items(second, 80, now), engines * slots - 60);
-  SECTION("no engine has more than it can run")
+  SECTION("no engine has more runs than slots")
   {
     for (const auto& [id, b] : second.all) {
       cr_assert_leq(b.in_flight + first.all.at(id).in_flight, slots);
     }
   }
-  SECTION("one that has not been heard of for a while holds nothing")
+  SECTION("an instance without a recent report holds no slots")
   {
     constexpr std::uint64_t later = now + 2000;
     auto third = fourteen_engines();
@@ -90,9 +92,10 @@
   }
 }
 
-// Callers that nobody tells of run on the same engines: an engine's own word
-// counts them, and those that were told are not counted twice.
-Test(engine_usage, adds_runs_that_only_the_engine_reports)
+// Some callers do not send usage reports but run on the same engines. An
+// engine's own load report includes their runs, and runs that were reported by
+// other owners are not counted twice.
+Test(engine_use, adds_runs_that_only_the_engine_reports)
 {
   constexpr std::uint64_t now = 10'000;
   auto r = fourteen_engines();
@@ -103,10 +106,10 @@
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
 
-Test(engine_usage, rejects_malformed_reports)
+Test(engine_use, rejects_malformed_reports)
 {
-  const engine_usage_report t{ "a", { { "e1", 3 } } };
-  cr_assert(*decode_engine_usage_report(encode(t)) == t);
+  const engine_usage_report report{ "a", { { "e1", 3 } } };
+  cr_assert(*decode_engine_usage_report(encode(report)) == report);
   using nlohmann::json;
   cr_assert_not(
     decode_engine_usage_report(json{ { "instance", "a" } }).has_value());
--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -34,7 +34,7 @@
     report.instance = store::text_field(j, "instance");
     const auto& runs = store::field(j, "runs");
     if (!runs.is_object() || runs.size() > max_engines) {
-      throw store::field_error{ { "runs", "no runs by engine" } };
+      throw store::field_error{ { "runs", "not an object of runs by engine" } };
     }
     for (const auto& [engine, count] : runs.items()) {
       const auto n = store::whole_field(runs, engine.c_str());
--- a/cactusford/batches/event_reader-test.cc
+++ b/cactusford/batches/event_reader-test.cc
@@ -22,8 +22,9 @@
   }
 }
 
-// An engine stops in the middle of an event. What has arrived of it must not
-// enter the text: the run that goes on elsewhere sends the event again.
+// An engine stops in the middle of an event. The incomplete event must not
+// become part of the text, because the run that continues on another engine
+// sends it again.
 Test(event_reader, leaves_out_an_event_that_was_cut)
 {
   event_reader r{ "weights" };
@@ -42,7 +43,7 @@
   }
   cr_assert(t.versions == std::vector<std::uint64_t>({ 4, 5 }));
   cr_assert(t.text == "a\nb\nc");
-  SECTION("a version that made no event is not named")
+  SECTION("a version that produced no event is not listed")
   {
     event_reader other{ "weights" };
     item_text only;
--- a/cactusford/batches/ledger-test.cc
+++ b/cactusford/batches/ledger-test.cc
@@ -33,9 +33,10 @@
   cr_assert_eq(l.pending.size(), 1, "the later result waits for its own chunk");
 }
 
-// A write has no answer, and what stands is read back: nothing yet. The batch
-// ends before it is made again. The write lands seconds later, and others show
-// its results; the last owner must not go on saying that it knows them all.
+// A write gets no answer, and a read finds no chunk yet. The batch ends before
+// the write is retried. The write is then applied seconds later, and other
+// instances show its results. The last owner must not claim that it knows all
+// results.
 Test(ledger, is_not_settled_while_a_write_may_still_land)
 {
   ledger l;
@@ -45,12 +46,12 @@
   cr_assert_not(is_settled(l));
   mark_chunk_unknown(l);
   cr_assert_not(is_settled(l));
-  SECTION("until some chunk stands at its number")
+  SECTION("until a chunk with its number is known to be stored")
   {
     adopt_chunk(l, chunk);
     cr_assert(is_settled(l));
   }
-  SECTION("a refused write was not done")
+  SECTION("a refused write was not applied")
   {
     ledger refused;
     add_result(refused, result_of("a"), 10);
@@ -60,10 +61,10 @@
   }
 }
 
-// Two instances believe that they own a batch, as one was paused. Both finish
-// the same item and write the same chunk. One create wins; the other instance
-// reads the chunk back. No item may stand at two positions, and no position
-// may change its content.
+// Two instances believe that they own a batch because one of them was paused.
+// Both finish the same item and write the same chunk. One create succeeds, and
+// the other instance reads that chunk back. No item may have two positions, and
+// the content of a position must not change.
 Test(ledger, gives_the_position_to_the_owner_that_wrote_first)
 {
   ledger l;
@@ -75,14 +76,14 @@
   cr_assert(l.listed[0].text == "theirs");
   cr_assert_eq(l.pending.size(), 1);
   cr_assert(l.pending[0].id == "a");
-  SECTION("an item listed already is left out of a later chunk")
+  SECTION("an item that is already listed is skipped in a later chunk")
   {
     adopt_chunk(l, { result_of("c", "again"), result_of("a", "ours") });
     cr_assert_eq(l.listed.size(), 3);
     cr_assert(l.listed[2].id == "a");
     cr_assert_eq(l.chunks, 2);
   }
-  SECTION("and gets no second result")
+  SECTION("a listed item gets no second result")
   {
     cr_assert_not(add_result(l, result_of("c"), 30));
   }
@@ -95,7 +96,7 @@
     add_result(l, result_of(std::to_string(i), std::string(1000, 'x')), 0);
   }
   cr_assert_eq(begin_chunk(l, 4000).size(), 3);
-  cr_assert_eq(begin_chunk(l, 1).size(), 1, "one result at least");
+  cr_assert_eq(begin_chunk(l, 1).size(), 1, "at least one result");
   adopt_chunk(l, l.pending);
   cr_assert_eq(page_of(l, 10, 0, 4000).results.size(), 3);
   cr_assert_eq(page_of(l, 10, 9, 1).results.size(), 1);
@@ -125,5 +126,5 @@
   moved.owner = "entry-2";
   moved.ended = true;
   cr_assert(decode_batch("x", 7, encode_spec(b), encode_status(moved)) == moved,
-            "the status names the present owner");
+            "the status holds the current owner");
 }
--- a/cactusford/batches/manager.cc
+++ b/cactusford/batches/manager.cc
@@ -429,7 +429,7 @@
   }
   process::log_line(timeline::event{ "batch_ended" }
                       .with("batch", id)
-                      .with("told_by", "peer")
+                      .with("reported_by", "peer")
                       .with("listed", b->ledger.listed.size()));
   b->stored.ended = true;
   impl_->close(*b);
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -379,7 +379,7 @@
   deps.http.fetch(
     address, r, o, [id, address](http::end_state end, http::response&&) {
       if (end != http::end_state::complete) {
-        process::log_line(timeline::event{ "owner_not_told" }
+        process::log_line(timeline::event{ "owner_not_notified" }
                             .with("batch", id)
                             .with("address", address)
                             .with("end", http::name_of(end)));
@@ -398,7 +398,7 @@
     return;
   }
   b.owner_unconfirmed = true;
-  process::log_line(timeline::event{ "batch_doubted" }
+  process::log_line(timeline::event{ "batch_owner_unconfirmed" }
                       .with("batch", b.stored.id)
                       .with("why", reason)
                       .with("revision", b.stored.revision));
@@ -449,9 +449,10 @@
   if (first || paused_ms < pause_limit_ms) {
     return;
   }
-  process::log_line(timeline::event{ "stood_still" }.with("for_ms", paused_ms));
+  process::log_line(
+    timeline::event{ "pause_detected" }.with("for_ms", paused_ms));
   for (auto& entry : batches) {
-    mark_unconfirmed(*entry.second, "stood_still");
+    mark_unconfirmed(*entry.second, "pause_detected");
   }
 }
 
--- a/cactusford/batches/parts-test.cc
+++ b/cactusford/batches/parts-test.cc
@@ -35,9 +35,9 @@
   }
 }
 
-// A part that ends inside a character is no UTF-8. The store would refuse it or
-// put another character in its place, and the trainer's items would be read
-// with other bytes than it sent.
+// A part that ends inside a UTF-8 sequence is not valid UTF-8. The store would
+// reject it or substitute a replacement character, and the trainer's items
+// would be read back with different bytes.
 Test(parts, never_end_inside_a_character)
 {
   const std::string body = "a\u00e9\u20ac\U0001F600b\u00e9";
--- a/cactusford/batches/placement-test.cc
+++ b/cactusford/batches/placement-test.cc
@@ -35,8 +35,9 @@
 
 } // namespace
 
-// Each step of a trainer reaches another entry. Run where it arrives, it opens
-// a hundred connections; run where the last one runs, it finds them open.
+// Each step of a trainer reaches a different entry. An entry that runs a step
+// for the first time opens a hundred connections; the entry that ran the
+// previous step already has them.
 Test(placement, keeps_the_steps_of_a_trainer_together)
 {
   const auto self = member_of("self", 0.2);
@@ -49,7 +50,8 @@
   }
 }
 
-// Entries have from 0.09 to 0.5 of a core. Work settles on large ones.
+// Entries have between 0.09 and 0.5 of a core. Steps should end up on large
+// ones.
 Test(placement, moves_to_larger_entries)
 {
   const std::vector<runner> small{ runner_of("small", 0.09, 4000) };
@@ -60,9 +62,9 @@
   cr_assert_eq(choose_runner(view_of(little, large)).instance, "large");
 }
 
-// 58 entries, 18 of them large, and submissions reach any of them: four of five
-// times a small one. Kept among small ones, all steps of a trainer ran with
-// 0.09 of a core while 18 entries of 0.5 stood idle.
+// Of 58 entries 18 are large, and submissions reach any of them, so four out of
+// five reach a small one. When small entries chose only among themselves, all
+// steps of a trainer ran on 0.09 of a core while 18 entries with 0.5 were idle.
 Test(placement, finds_a_large_entry_from_a_small_one)
 {
   auto v = view_of(member_of("self", 0.09), { runner_of("small", 0.09, 4000) });
@@ -75,12 +77,13 @@
     cr_assert_eq(choose_runner(v).capacity, 0.5);
     cr_assert_neq(choose_runner(v).instance, first.instance);
   }
-  SECTION("unless there are more trainers than large entries")
+  SECTION(
+    "two trainers share one if there are more trainers than large entries")
   {
     v.busy_instances = { "big-1", "big-2", "self" };
     cr_assert_eq(choose_runner(v), first);
   }
-  SECTION("first steps of several trainers at one moment are spread")
+  SECTION("simultaneous first steps of several trainers are spread")
   {
     auto fresh = v;
     fresh.busy_instances.clear();
@@ -91,12 +94,12 @@
     }
     cr_assert_eq(chosen.size(), 2);
   }
-  SECTION("steps do not move for little")
+  SECTION("steps do not move for a small gain")
   {
     v.trainer_runners = { runner_of("medium", 0.4, 4000) };
     cr_assert_eq(choose_runner(v).instance, "medium");
   }
-  SECTION("nor from a large entry to another")
+  SECTION("steps do not move from one large entry to another")
   {
     v.self = member_of("self", 0.5);
     v.trainer_runners = { runner_of("big-2", 0.5, 4000) };
@@ -104,8 +107,8 @@
   }
 }
 
-// The entry that runs the trainer's steps is killed. Given the next one too, it
-// would let that step wait for the takeover as well.
+// The entry that runs the trainer's steps is killed. If it were given the next
+// step, that step would have to wait for the takeover as well.
 Test(placement, does_not_give_work_to_a_silent_entry)
 {
   auto gone = runner_of("gone", 0.5, 4000);
@@ -114,12 +117,12 @@
   cr_assert_eq(choose_runner(view_of(self, { gone })), self);
 }
 
-// 58 entries are stopped and started one after the other. A step that is handed
-// to one that is stopped next moves on again and again, and ends seconds late.
+// 58 entries are restarted one after the other. If a step is handed to an entry
+// that is stopped next, it is moved again and again and ends seconds late.
 Test(placement, hands_over_to_the_first_known_entry)
 {
   auto v = view_of(member_of("self", 0.5), {});
-  cr_assert_not(choose_successor(v), "nobody is known");
+  cr_assert_not(choose_successor(v), "no other entry is known");
   v.largest_entries = { member_of("self", 0.5),
                         member_of("young", 0.5),
                         member_of("old", 0.5) };
--- a/cactusford/batches/progress-test.cc
+++ b/cactusford/batches/progress-test.cc
@@ -17,7 +17,7 @@
   t.versions = { 3, 4 };
   const progress p{ { "x", t } };
   cr_assert(decode_progress(encode_progress(p)) == p);
-  SECTION("a damaged entry costs its own item alone")
+  SECTION("a damaged entry affects only its own item")
   {
     auto spec = encode_progress(p);
     spec["list"].push_back({ { "item", "y" } });
--- a/cactusford/batches/schedule-test.cc
+++ b/cactusford/batches/schedule-test.cc
@@ -16,8 +16,8 @@
                                    { 1, 0, 8000, 7400 },
                                    { 1, 1, 8000, 300 } };
   sort_by_slack(items);
-  cr_assert_eq(items[0].item, 1, "the longest of the older batch");
-  cr_assert_eq(items[1].batch, 1, "a long one of the younger batch");
+  cr_assert_eq(items[0].item, 1, "the longest item of the older batch");
+  cr_assert_eq(items[1].batch, 1, "a long item of the newer batch");
   cr_assert_eq(items[3].expected_ms, 300);
 }
 
@@ -28,13 +28,13 @@
     record_run(p, 1000, 1300);
   }
   cr_assert_float_eq(p.ms, 1.3, 0.05);
-  SECTION("one run that is far off hardly moves it")
+  SECTION("a single outlier hardly changes the pace")
   {
     const auto before = p.ms;
     record_run(p, 10, 100000);
     cr_assert_lt(p.ms, before * 1.05);
   }
-  SECTION("a text without an estimate says nothing")
+  SECTION("a run without an estimate does not change the pace")
   {
     const auto before = p;
     record_run(p, 0, 5000);
@@ -42,8 +42,9 @@
   }
 }
 
-// Its owner was killed; the text so far was kept. Whoever goes on with it must
-// not put it behind the short ones because most of its estimate is made.
+// The owner of a run was killed and the text so far was saved. The instance
+// that continues the run must not schedule it after short ones because most of
+// its estimate is used up.
 Test(schedule, expects_more_time_for_runs_beyond_their_estimate)
 {
   const token_pace p{ 1.0 };
@@ -60,8 +61,9 @@
   std::vector<std::uint64_t> hint_ms;
 };
 
-// 92 items: lengths of a log-normal spread, one in twelve five times as long,
-// estimates off by half. The figures are those of a cutting plan's step.
+// Generates 92 items with log-normally distributed lengths, of which one in
+// twelve is five times as long, and with estimates that are off by half. The
+// parameters are those of a step of a cutting plan job.
 load
 heavy_step(std::uint64_t seed)
 {
@@ -78,7 +80,7 @@
   return l;
 }
 
-// When the last item ends on so many slots.
+// Returns the time at which the last item ends on the given number of slots.
 std::uint64_t
 makespan(const load& l, bool by_slack, std::size_t slots)
 {
@@ -97,8 +99,9 @@
 
 } // namespace
 
-// Half of the engines are loading weights as the step begins: 32 slots for 92
-// items. Taken as they come, a straggler that starts last ends the step late.
+// Half of the engines are loading weights when the step starts, which leaves 32
+// slots for 92 items. In submission order, a straggler that starts last makes
+// the step end late.
 Test(schedule, shortens_a_step_with_a_long_tail)
 {
   std::uint64_t as_they_come = 0;
@@ -115,10 +118,11 @@
                as_they_come);
 }
 
-// An engine loads weights and holds its runs up for 950 ms. An item of the
-// longest kind, 157 events at 48 ms, then ends 8.5 s after its step began, of
-// which the group counts in full until 8.2 s. It has to move on early enough to
-// end in time, and must stay where it is over the pauses of a healthy engine.
+// An engine that loads weights stalls its runs for 950 ms. An item of maximum
+// length, 157 events at 48 ms each, would then end 8.5 s after its step
+// started, but its group counts in full only until 8.2 s. The run has to be
+// moved early enough to end in time, and must not be moved because of the
+// pauses of a healthy engine.
 Test(schedule, moves_long_runs_off_an_engine_that_loads)
 {
   constexpr std::uint64_t longest_text_ms = 157 * 48;
@@ -131,15 +135,15 @@
   {
     cr_assert_gt(silence_limit_ms(90), silence_limit_ms(48));
   }
-  SECTION("before any pace is known it waits longest")
+  SECTION("the limit is largest while the pace is unknown")
   {
     cr_assert_geq(silence_limit_ms(0), silence_limit_ms(1000));
   }
 }
 
-// Four owners begin their steps on the same engines. What an engine can't run
-// at once waits there, and the longest text of a step has half a second to
-// spare.
+// Four owners start their steps on the same engines. Runs that an engine cannot
+// execute at once wait there, and the longest text of a step has half a second
+// of slack.
 Test(schedule, what_has_least_to_spare_is_most_urgent)
 {
   constexpr std::uint64_t now = 10'000;
@@ -147,8 +151,8 @@
   const auto longest = urgency_of(due, 7000, now);
   const auto usual = urgency_of(due, 900, now);
   cr_assert_lt(longest, usual);
-  cr_assert_leq(usual, 5, "never behind those that say nothing");
-  SECTION("a step that is late comes first")
+  cr_assert_leq(usual, 5, "never less urgent than runs without an urgency");
+  SECTION("a late step is most urgent")
   {
     cr_assert_eq(urgency_of(now - 2000, 900, now), longest);
   }
--- a/cactusford/batches/score_limit-test.cc
+++ b/cactusford/batches/score_limit-test.cc
@@ -15,8 +15,8 @@
 
 } // namespace
 
-// Two owners have a hundred and sixty texts to score each, on 36 places that
-// they share with callers. What has no place is refused.
+// Two owners have 160 texts each to score on 36 slots that they share with
+// callers. Calls without a free slot are refused.
 Test(score_limit, owners_settle_within_the_places)
 {
   std::array<score_limit, 2> owners{};
@@ -45,7 +45,7 @@
     }
   }
   cr_assert_leq(refused, scored / 10);
-  cr_assert_geq(scored, 50 * slots / 2, "the places are used");
+  cr_assert_geq(scored, 50 * slots / 2, "at least half of the slots are used");
 }
 
 Test(score_limit, leaves_places_to_callers)
@@ -56,7 +56,7 @@
     on_call_end(l, score_end::answered, slots, i);
   }
   cr_assert_leq(l.limit, 0.75 * slots);
-  SECTION("refusals that come together count once")
+  SECTION("a burst of refusals counts once")
   {
     const auto before = l.limit;
     for (int i = 0; i < 10; ++i) {
@@ -64,14 +64,14 @@
     }
     cr_assert_geq(l.limit, before / 2);
   }
-  SECTION("it never stops altogether")
+  SECTION("the limit never drops to zero")
   {
     for (std::uint64_t i = 0; i < 100; ++i) {
       on_call_end(l, score_end::refused, slots, 20'000 + 1000 * i);
     }
     cr_assert(can_start(l));
   }
-  SECTION("a call that was given up frees its place and says nothing more")
+  SECTION("a cancelled call frees its slot and does not change the limit")
   {
     auto given_up = l;
     on_call_start(given_up);
--- a/cactusford/batches/score_queue-test.cc
+++ b/cactusford/batches/score_queue-test.cc
@@ -20,9 +20,10 @@
 
 } // namespace
 
-// A server has ended under ten scorer's calls, of which one ends every server
-// that runs it. Sent together they would meet again at the next server, and end
-// with it; each time all ten would be one step nearer to being kept out.
+// A server has crashed during ten scorer calls, one of which crashes every
+// server that runs it. If the ten were sent together again, they would all be
+// in flight when the next server crashes, and each crash would bring all ten
+// closer to quarantine.
 Test(score_queue, suspects_go_one_at_a_time)
 {
   score_queue q;
@@ -36,7 +37,7 @@
   const auto first = take_next(q, is_suspect);
   cr_assert(first->is_suspect);
   cr_assert_eq(first->text.at, 0);
-  SECTION("all others go beside it")
+  SECTION("all calls that are not suspect go beside it")
   {
     auto all = q;
     for (std::size_t at = ended_once.size(); at < texts; ++at) {
@@ -47,14 +48,14 @@
     cr_assert_not(take_next(all, is_suspect).has_value());
     cr_assert_eq(all.waiting.size(), ended_once.size() - 1);
   }
-  SECTION("when it has ended, the next one goes")
+  SECTION("the next suspect goes when it has ended")
   {
     on_suspect_finished(q);
     const auto next = take_next(q, is_suspect);
     cr_assert(next->is_suspect);
     cr_assert_eq(next->text.at, 1);
   }
-  SECTION("one that has been answered meanwhile waits for nobody")
+  SECTION("a call that is no longer suspect does not wait")
   {
     ended_once.erase(1);
     cr_assert_not(take_next(q, is_suspect)->is_suspect);
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -91,7 +91,8 @@
   const auto target = http::find(fields, target_header);
   const auto remaining_ms = http::number(fields, remaining_time_header);
   if (!target || !remaining_ms) {
-    process::log_line(timeline::event{ "passed_unreadable" }.with("batch", id));
+    process::log_line(
+      timeline::event{ "forwarded_submission_unreadable" }.with("batch", id));
     peer.respond(answer(400));
     return;
   }
@@ -147,7 +148,7 @@
     [self = shared_from_this(), a, to](http::end_state end,
                                        http::response&& answered) {
       process::log_line(
-        timeline::event{ "batch_passed_on" }
+        timeline::event{ "batch_forwarded" }
           .with("batch", a->id)
           .with("to", to.instance)
           .with("end", http::name_of(end))
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -1,4 +1,4 @@
-// Batches that entries accept, run, hand over and show.
+// Tests of accepting, running, handing over and reading batches.
 #include "cactusford/testing/section.h"
 #include "tests/batches_world.h"
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A batch that has ended, of an owner that is gone, with a result in each
-// chunk.
+// Stores a batch that has ended and whose owner is gone, with one result in
+// each chunk.
 void
 put_ended_batch(batch_cluster& cluster, std::size_t chunks)
 {
@@ -29,7 +29,7 @@
                       batches::chunk_name(std::string{ batch_id }, i),
                       batches::encode_chunk({ 1, { r } }));
   }
-  // Nobody takes it over meanwhile: it is shown as ended.
+  // Prevents a takeover before the batch is read: it is stored as ended.
   store::call end;
   end.op = store::operation::replace_status;
   end.kind = "batches";
@@ -45,7 +45,7 @@
 {
   batch_cluster cluster{ 2 };
   cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(6)), 202);
-  SECTION("a repeated submission is accepted once, also elsewhere")
+  SECTION("a repeated submission is accepted once, also by another entry")
   {
     cr_assert_eq(cluster.call(*cluster.entries[1], "POST", submission(6)), 202);
     cr_assert_eq(cluster.store.all("batches").size(), 1);
@@ -56,7 +56,7 @@
     check_results(all, cluster.engine);
     cr_assert(cluster.read_all(*cluster.entries[0], 6) == all);
   }
-  SECTION("after its end they stay readable")
+  SECTION("results stay readable after the batch has ended")
   {
     const auto all = cluster.read_all(*cluster.entries[0], 6);
     cr_assert_eq(cluster.call(*cluster.entries[1], "DELETE"), 200);
@@ -65,12 +65,9 @@
   }
 }
 
-// A step of thirteen groups: each group becomes whole at a moment of its own,
-// and a write for each would be thirteen priced calls. The trainer goes on when
-// it has the groups that it waits for, so those before share writes.
-// A trainer's batch is asked for by a caller of another workspace that has got
-// hold of its id. It is answered as if there were none, at the owner and at
-// entries that know of the batch from the store.
+// A caller of another workspace has obtained the id of a trainer's batch. It is
+// answered as if the batch did not exist, both by the owner and by entries that
+// know the batch from the store.
 Test(batches, are_not_there_for_another_workspace)
 {
   batch_cluster cluster{ 2 };
@@ -85,7 +82,7 @@
     cr_assert_eq(cluster.call(*e, "DELETE"), 404);
     cr_assert_eq(cluster.call(*e, "POST", submission(2)), 404);
   }
-  SECTION("its own workspace reads and ends it anywhere")
+  SECTION("its own workspace reads and ends it through any entry")
   {
     cluster.workspace = "planning";
     cluster.read_all(other, 2);
@@ -94,6 +91,9 @@
   }
 }
 
+// The thirteen groups of a step are completed at different times, and a write
+// for each would be thirteen billed calls. The trainer continues once it has
+// the groups that it waits for, so the groups before that share writes.
 Test(batches, writes_groups_together_until_the_trainer_has_enough)
 {
   batch_cluster cluster{ 1 };
@@ -110,9 +110,9 @@
   cr_assert_leq(cluster.store.all("results").size(), 7);
 }
 
-// The store carries a write out and its answer is lost. The entry cannot know
-// and makes the write again. A batch accepted twice or a result at two
-// positions would reach the trainer twice.
+// The store applies a write and its answer is lost. The entry cannot tell and
+// repeats the write. A batch that is accepted twice, or a result at two
+// positions, would reach the trainer twice.
 Test(batches, survives_lost_answers_to_its_writes)
 {
   batch_cluster cluster{ 1 };
@@ -127,10 +127,10 @@
   cr_assert_geq(lost["results"], 2, "the first chunk was written again");
 }
 
-// The owner's write of results stands, and its acknowledgement is lost, or the
-// owner is too busy to read it. Another entry reads the results from the store
-// and shows them. Then a caller asks the owner: it must not say that there are
-// none, as it can't be sure.
+// The owner's write of results is applied, but its acknowledgement is lost, or
+// the owner is too busy to read it. Another entry reads the results from the
+// store and shows them. When a caller then asks the owner, the owner must not
+// answer that there are none, because it cannot be sure.
 Test(batches, does_not_deny_results_of_a_write_that_is_not_settled)
 {
   batch_cluster cluster{ 1 };
@@ -145,10 +145,10 @@
   cr_assert_not(cluster.denies_results(*cluster.entries[0]));
 }
 
-// The owner is paused, or so short of processor time that it falls silent.
-// Another entry takes over, and its results are read. When the old owner wakes,
-// callers ask it before it has heard of all this: what it holds is out of date,
-// and it knows that from its own clock.
+// The owner is paused, or gets so little CPU time that it stops responding.
+// Another entry takes over, and its results are read. When the old owner
+// resumes, callers ask it before it has learned of the takeover. It must notice
+// from its own clocks that its state is out of date.
 Test(batches, does_not_deny_results_after_a_pause)
 {
   batch_cluster cluster{ 2 };
@@ -166,14 +166,16 @@
   cr_assert_not(cluster.denies_results(old_owner));
 }
 
-// The owner lives and its answers to the others are lost. Another entry takes
-// over, and its results are read. The old owner's watch is behind. It must not
-// go on as if it still owned the batch: the new owner has told it.
+// The owner is alive, but its answers to the others are lost. Another entry
+// takes over, and its results are read. The old owner's watch is behind, and it
+// must not continue as if it still owned the batch, because the new owner has
+// notified it.
 Test(batches, tells_the_old_owner_that_it_was_replaced)
 {
   batch_cluster cluster{ 2 };
   auto& old_owner = *cluster.entries[0];
-  // It cannot run the items itself and learn of the other that way.
+  // Without an engine, the old owner cannot learn of the takeover by running
+  // the items itself.
   backends::withdraw(old_owner.registry, "e1", http::now_ms());
   cluster.call(old_owner, "POST", submission(2));
   old_owner.watcher->stop();
@@ -184,8 +186,8 @@
   cr_assert_not(cluster.denies_results(old_owner));
 }
 
-// The store refuses everything. Nothing can be promised, and nothing has been
-// done: the caller is told when to come back and no item runs.
+// The store refuses every call. Nothing can be promised and nothing has been
+// done: the caller is told when to retry, and no item runs.
 Test(batches, refuses_submissions_that_it_cannot_store)
 {
   batch_cluster cluster{ 1 };
@@ -193,7 +195,7 @@
     return object_store::fault::refuse;
   };
   cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(4)), 503);
-  SECTION("also when a part of the submission may stand: it alone runs nothing")
+  SECTION("also if a part of the submission may be stored: a part runs nothing")
   {
     cluster.store.faults = [](const store::call& c) {
       return c.kind == batches::part_kind ? object_store::fault::silent
@@ -202,7 +204,7 @@
     cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(4)), 503);
     cr_assert(cluster.store.all("batches").empty());
   }
-  SECTION("but not when the write of the batch may have taken place")
+  SECTION("but not if the write of the batch object may have been applied")
   {
     cluster.store.faults = [](const store::call& c) {
       return c.kind == batches::batch_kind ? object_store::fault::silent
@@ -213,9 +215,9 @@
   cr_assert(cluster.engine.runs.empty());
 }
 
-// An engine resets its stream in the middle of an event. The item goes on
-// behind the last whole event; begun anew, or joined with a gap, its text
-// would not be what the engine meant.
+// An engine resets its stream in the middle of an event. The item continues
+// after the last complete event. If it started again, or if events were missing
+// in between, its text would not be what the engine generated.
 Test(batches, resumes_a_cut_stream_behind_the_last_whole_event)
 {
   batch_cluster cluster{ 1 };
@@ -226,8 +228,9 @@
   cr_assert_eq(cluster.engine.runs.back().resumed_at, 2);
 }
 
-// Weights older than the batch allows are loaded on the engine, and the list
-// of engines says otherwise. No text of them may reach the trainer.
+// The engine has older weights loaded than the batch allows, but the list of
+// engines says otherwise. No text generated by the old weights may reach the
+// trainer.
 Test(batches, keeps_text_of_old_weights_out)
 {
   batch_cluster cluster{ 1 };
@@ -243,9 +246,9 @@
   cr_assert(all[0].at("versions") == json::array({ 5 }));
 }
 
-// The owner of a batch falls silent after it has run for a while. Another
-// entry takes over and goes on with the text that was kept. Then the old owner
-// wakes, still believing that it owns the batch, and its results arrive late.
+// The owner of a batch stops responding after running it for a while. Another
+// entry takes over and continues from the saved text. Then the old owner
+// resumes, still believing that it owns the batch, and its results arrive late.
 // Readers of both must see the same results at the same positions.
 Test(batches, keeps_one_order_of_results_when_two_believe_they_own_them)
 {
@@ -261,20 +264,20 @@
   auto& successor = cluster.by_name(cluster.owner());
   cluster.run_until([&] { return cluster.engine.runs.size() > 4; });
   cr_assert_gt(
-    cluster.engine.runs.back().resumed_at, 0, "the kept text was used");
+    cluster.engine.runs.back().resumed_at, 0, "the saved text was used");
   old_owner.running = true;
   const auto all = cluster.read_all(successor, 4);
   check_results(all, cluster.engine);
   cr_assert(cluster.read_all(old_owner, 4) == all);
   const auto chunks = cluster.store.all("results");
   const auto first = batches::decode_chunk(chunks.front().spec);
-  cr_assert(first->results.empty(), "the heir fenced the ledger first");
+  cr_assert(first->results.empty(), "the successor fenced the ledger first");
 }
 
-// An engine starts again under its id while items run there, and the
-// connections of the old life stay silent. The entry learns of the new life
-// from the list; its items go on at once, behind the text they have, and the
-// ends of the old runs don't free places that nobody holds.
+// An engine restarts under the same id while items run on it, and the
+// connections to the old incarnation stay silent. The entry learns of the new
+// incarnation from the list. Its items continue at once after the text they
+// have, and the ends of the old runs must not free slots that are not in use.
 Test(batches, go_on_at_once_when_an_engine_starts_again_under_its_id)
 {
   batch_cluster cluster{ 1 };
@@ -287,7 +290,7 @@
   cluster.run_until([&] { return next.streaming == 2; });
   cr_assert_eq(next.runs.size(), 2);
   cr_assert_eq(backends::find(e.registry, "e1")->in_flight, 2);
-  SECTION("late word of the old life moves nothing back")
+  SECTION("a late announcement of the old incarnation changes nothing")
   {
     e.announce_backend("e1", "engines", cluster.engine.address(), 1, 1);
     cluster.run_until([&] { return cluster.engine.streaming == 0; });
@@ -296,7 +299,8 @@
   }
 }
 
-// A batch ends while its items run. What nobody reads any more is cancelled.
+// A batch ends while its items run. Runs whose results nobody will read are
+// cancelled.
 Test(batches, stops_the_runs_of_an_ended_batch)
 {
   batch_cluster cluster{ 2 };
@@ -308,8 +312,9 @@
   cr_assert(cluster.entries[0]->batch_manager->owned() == 0);
 }
 
-// The owner's watch is behind, as on a starved instance after a restart, while
-// a batch is ended at another entry. Its items ran on for thirteen seconds.
+// A batch is ended through another entry while the owner's watch is behind, as
+// on a CPU-starved instance after a restart. Without a notification its items
+// kept running for thirteen seconds.
 Test(batches, tells_the_owner_of_an_end_that_its_watch_has_not_shown)
 {
   batch_cluster cluster{ 2 };
@@ -321,10 +326,10 @@
   cluster.run_until([&] { return cluster.engine.streaming == 0; });
 }
 
-// An entry accepts a step for the one that runs the trainer's steps. That one
-// lists some results and falls silent; the first takes over. What was listed
-// meanwhile is new to it: begun as a fresh batch, positions that a trainer had
-// read would be gone.
+// An entry accepts a step for the entry that runs the trainer's steps. That one
+// lists some results and stops responding, and the first entry takes over. It
+// does not know the results that were listed meanwhile: if it started the batch
+// from the beginning, positions that a trainer has already read would be gone.
 Test(batches, takes_over_what_it_accepted_for_another)
 {
   batch_cluster cluster{ 2 };
@@ -332,7 +337,7 @@
   auto& acceptor = *cluster.entries[0];
   cluster.engine.events = 10;
   cluster.call(runner, "POST", submission(1), "batch-0");
-  // It has to have heard that the other lives.
+  // The acceptor must have had an answer to a probe from the runner.
   const auto asked = runner.answered_probes;
   cluster.run_until([&] { return runner.answered_probes >= asked + 2; });
   cluster.engine.events = 5;
@@ -345,9 +350,10 @@
   cr_assert(cluster.read_all(acceptor, 4) == listed);
 }
 
-// The store is silent for everybody. The owner cannot list, and says so; it
-// holds seconds of text that nobody else has. Another entry that took the batch
-// over when the store is back would begin from text that was kept before.
+// The store is unavailable to everyone. The owner cannot list results, and
+// reports so, but it holds seconds of text that no other entry has. An entry
+// that took the batch over once the store is back would start from text that
+// was saved earlier.
 Test(batches, stay_with_their_owner_while_the_store_is_away_for_all)
 {
   batch_cluster cluster{ 2 };
@@ -366,10 +372,10 @@
   cr_assert_eq(cluster.owner(), "entry-0");
 }
 
-// A step arrives at one entry and runs at another, whose watch shows it before
-// any message of the first. That entry read the submission and the results back
-// from the store and wrote a fence before it began: the trainer's step started
-// up to 0.9 s late, and so did all behind it.
+// A step arrives at one entry and runs at another, whose watch shows the step
+// before any message from the first entry arrives. When the running entry read
+// the submission and the results back from the store and wrote a fence first,
+// the trainer's step started up to 0.9 s late, and so did all later ones.
 Test(batches, begin_at_once_at_another_entry)
 {
   batch_cluster cluster{ 2 };
@@ -394,8 +400,8 @@
   cr_assert_not(batches::decode_chunk(first->spec)->results.empty());
 }
 
-// The entry that runs a trainer's steps takes no more, or falls silent. The
-// next one is accepted in time all the same, and runs where it arrived.
+// The entry that runs a trainer's steps refuses new ones, or stops responding.
+// The next step is still accepted in time and runs where it arrived.
 Test(batches, run_where_they_arrive_when_nobody_else_takes_them)
 {
   for (const bool silent : { false, true }) {
@@ -411,9 +417,9 @@
   }
 }
 
-// The other entry was passed a submission and has not answered: it may accept
-// it later. Refused as "not run" here, the caller would believe that nothing
-// runs.
+// Another entry has received a forwarded submission but has not responded: it
+// may accept the submission later. If this entry refused it as "not run", the
+// caller would wrongly believe that nothing runs.
 Test(batches, answer_unknown_when_a_forwarded_submission_got_no_response)
 {
   batch_cluster cluster{ 2 };
@@ -431,8 +437,8 @@
                unknown);
 }
 
-// What another entry passes on is cut short, or of another shape. It is refused
-// as such, and nothing runs.
+// A forwarded submission is truncated or has an unexpected shape. It is refused
+// as malformed, and nothing runs.
 Test(batches, refuses_malformed_forwarded_submissions)
 {
   batch_cluster cluster{ 1 };
@@ -450,8 +456,8 @@
   cr_assert_eq(cluster.entries[0]->batch_manager->owned(), 0);
 }
 
-// A planned stop: the batch is given away at once with its text, and no reader
-// waits for the silence of its owner.
+// On a planned stop the batch is handed over at once with its text, so that no
+// reader has to wait until the owner is presumed dead.
 Test(batches, gives_its_batches_away_when_it_leaves)
 {
   batch_cluster cluster{ 2 };
@@ -465,8 +471,8 @@
   check_results(cluster.read_all(*cluster.entries[1], 2), cluster.engine);
 }
 
-// A planned stop of an entry that knows others: the named one goes on at once,
-// and nobody else writes itself down as the owner.
+// On a planned stop of an entry that knows others, the chosen successor
+// continues at once, and no other entry becomes the owner in between.
 Test(batches, hands_its_batches_to_the_entry_that_it_knows)
 {
   batch_cluster cluster{ 3 };
@@ -488,8 +494,9 @@
   check_results(cluster.read_all(*cluster.entries[1], 2), cluster.engine);
 }
 
-// A value of the store is a megabyte at most, and this submission is larger. It
-// is kept in parts; another entry that takes the batch over reads them all.
+// A value in the store is limited to a megabyte, and this submission is larger.
+// It is stored in parts, and an entry that takes the batch over reads all of
+// them.
 Test(batches, keeps_a_submission_that_is_larger_than_a_value)
 {
   batch_cluster cluster{ 2 };
@@ -506,9 +513,10 @@
   check_results(cluster.read_all(*cluster.entries[1], 2), cluster.engine);
 }
 
-// The store takes the parts of a submission and refuses its head. Nothing runs,
-// the caller is told when to come back, and the parts are removed when its
-// batch could no longer be read: those of refused batches would fill the store.
+// The store accepts the parts of a submission but refuses the batch object.
+// Nothing runs, the caller is told when to retry, and the parts are removed
+// once the batch could no longer be read anyway: otherwise the parts of refused
+// batches would fill the store.
 Test(batches, removes_the_parts_of_a_batch_that_was_refused)
 {
   batch_cluster cluster{ 1 };
@@ -523,10 +531,10 @@
   cr_assert(cluster.engine.runs.empty());
 }
 
-// An entry has just started and knows no results yet. Two callers read the same
-// ended batch at once, and its chunks come in several answers. The one that
-// finds the first chunks taken in already must not take them for all: positions
-// that had been read would seem to be gone.
+// An entry has just started and knows no results yet. Several callers read the
+// same ended batch at once, and its chunks arrive in several answers. A reader
+// that finds the first chunks already loaded must not take them for all:
+// positions that have been read before would seem to be gone.
 Test(batches, shows_all_results_to_readers_that_come_together)
 {
   batch_cluster cluster{ 0 };
@@ -551,9 +559,9 @@
   }
 }
 
-// An entry looks for the results of an ended batch, and the store refuses. It
-// knows as little as before: taken for a look that found nothing, the next
-// caller would be told that results it had read are gone.
+// An entry reads the results of an ended batch, and the store refuses the call.
+// If the entry took this for a result list without entries, the next caller
+// would be told that results it has already read do not exist.
 Test(batches, does_not_deny_results_after_a_failed_read)
 {
   batch_cluster cluster{ 0 };
@@ -570,7 +578,7 @@
   cr_assert_eq(cluster.read_all(e, 2).size(), 2);
 }
 
-// Nobody reads an ended batch for ever. Kept for ever, batches would fill the
+// Ended batches are removed. If they were kept forever, they would fill the
 // store and the memory of every entry.
 Test(batches, removes_what_has_ended_long_ago)
 {
@@ -585,9 +593,10 @@
   cluster.run_until([&] { return !cluster.read(*cluster.entries[1]); });
 }
 
-// Among the entries of a kind are some of another writer: one is no object, one
-// holds bytes that are no text. The others of the list, of its further pages
-// and of the watch behind it hold, and the broken ones are named.
+// Some objects of a kind were written incorrectly: one is not an object,
+// another contains invalid UTF-8. The remaining objects of the list, of its
+// further pages and of the watch that follows are still delivered, and the
+// unreadable ones are reported.
 Test(watcher, shows_all_others_beside_entries_that_are_broken)
 {
   batch_cluster cluster{ 1 };
@@ -619,7 +628,7 @@
   const std::set<std::string> whole{ "a", "c", "f" };
   cr_assert(shown == whole);
   cr_assert(broken.contains("d"));
-  SECTION("a change that breaks one, and the next that doesn't")
+  SECTION("an unreadable change does not hide the next change")
   {
     cluster.store.put("things", "c", { { "x", bad } });
     cluster.store.put("things", "g", { { "x", 1 } });
@@ -628,8 +637,8 @@
   }
 }
 
-// The store cuts a waiting watch and drops its history. A watch from the old
-// revision would show nothing for as long as it is held.
+// The store closes a pending watch and drops its history. A new watch from the
+// old revision would show nothing for as long as it is open.
 Test(watcher, lists_again_after_its_watch_was_cut)
 {
   batch_cluster cluster{ 1 };
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -1,5 +1,6 @@
-// Entries that share batches through a store, in one process: each entry has
-// its own event loop, so that one can be paused and woken.
+// Test cluster: several entries in one process that share batches through a
+// store. Each entry has its own event loop, so that it can be paused and
+// resumed.
 #pragma once
 
 #include "cactusford/batches/manager.h"
@@ -22,7 +23,7 @@
 
 constexpr std::string_view batch_id = "batch-1";
 
-// Longer than any step here takes; reached only when something hangs.
+// Longer than any step of these tests takes; exceeded only if something hangs.
 constexpr std::uint64_t hang_timeout_ms = 30000;
 
 inline routes::table_ptr
@@ -48,7 +49,8 @@
   return t;
 }
 
-// Long enough for every test that reads, short enough to wait for.
+// Long enough for every test that reads results, short enough to wait for the
+// removal.
 constexpr std::uint64_t retention_ms = 2000;
 
 struct entry
@@ -61,17 +63,17 @@
   http::server peer;
   http::server front;
   store::client store;
-  // Started by the tests that need it.
+  // Started only by the tests that need it.
   quarantine::guard guard;
   edge::forwarder forwarder;
   std::unique_ptr<batches::manager> batch_manager;
   std::unique_ptr<store::watcher> watcher;
   bool running = true;
-  // The largest entries, as it has heard.
+  // The largest entries known to this one.
   std::vector<membership::member> largest_entries;
-  // Does not tell others that it lives.
+  // Leaves liveness probes unanswered.
   bool ignores_probes = false;
-  // Takes no submission that is passed on; or does not answer to one.
+  // Refuses forwarded submissions; or leaves them unanswered.
   bool refuses_submissions = false;
   bool ignores_submissions = false;
   int answered_probes = 0;
@@ -210,7 +212,7 @@
   stream_engine scorer{ io, "s1" };
   http::client caller{ io };
   std::vector<std::unique_ptr<entry>> entries;
-  // On whose behalf the caller asks.
+  // The workspace of the caller.
   std::string workspace;
 
   explicit batch_cluster(int count)
@@ -238,7 +240,7 @@
   {
     const auto limit = http::now_ms() + hang_timeout_ms;
     while (!done()) {
-      cr_assert_lt(http::now_ms(), limit, "it hangs");
+      cr_assert_lt(http::now_ms(), limit, "the cluster hangs");
       std::size_t ran = io.poll();
       for (const auto& e : entries) {
         ran += e->running ? e->io.poll() : 0;
@@ -273,7 +275,7 @@
     return status;
   }
 
-  // The results from a position onward, or nothing when refused.
+  // Returns a page of results from a position onward, or nothing if refused.
   std::optional<json> read(entry& e, std::size_t after = 0)
   {
     std::optional<json> page;
@@ -298,7 +300,7 @@
     return page;
   }
 
-  // Reads until all items are listed.
+  // Reads until the results of all items are listed.
   json read_all(entry& e, std::size_t total)
   {
     json all = json::array();
@@ -313,7 +315,7 @@
     return all;
   }
 
-  // A chunk with results stands in the store.
+  // Returns true if the store contains a chunk with results.
   bool has_results() const
   {
     const auto chunks = store.all("results");
@@ -323,21 +325,24 @@
     });
   }
 
-  // An answer that says nothing is listed denies results that were shown.
+  // Returns true if the entry answers with an empty page, which denies results
+  // that have already been shown.
   bool denies_results(entry& e)
   {
     const auto page = read(e);
     return page && page->at("results").empty();
   }
 
-  // Until the others have heard that it lives.
+  // Waits until the other entries have received an answer to a probe from this
+  // one.
   void wait_until_seen(entry& e)
   {
     const auto asked = e.answered_probes;
     run_until([&] { return e.answered_probes >= asked + 2; });
   }
 
-  // Passes a submission on as another entry would; the answer's status.
+  // Forwards a submission as another entry would, and returns the status of the
+  // response.
   int forward(entry& e, http::headers fields, const std::string& body)
   {
     int status = 0;
@@ -353,7 +358,7 @@
     return status;
   }
 
-  // Who owns the batch, by the store.
+  // Returns the owner of the batch according to the store.
   std::string owner() const
   {
     const auto* o =
@@ -384,7 +389,8 @@
   return j.dump();
 }
 
-// Each item stands once, whole, scored by its own call.
+// Checks that each item is listed once, with its complete text and with the
+// score of its own scorer call.
 inline void
 check_results(const json& all, const stream_engine& engine)
 {
