--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -1,6 +1,6 @@
 // Tests of accepting, running, handing over and reading batches.
 #include "cactusford/testing/section.h"
-#include "tests/batches_world.h"
+#include "tests/batches_cluster.h"
 
 using namespace cactusford;
 using namespace cactusford::testing;
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -2,7 +2,7 @@
 // servers that score: entries, store and engines in one process.
 #include "cactusford/testing/section.h"
 #include "standins/frail_service.h"
-#include "tests/batches_world.h"
+#include "tests/batches_cluster.h"
 
 using namespace cactusford;
 using namespace cactusford::testing;
