--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -18,8 +18,8 @@
   };
 }
 
-// One look at the bytes; a parser that asks at each level costs as much again
-// as the parsing.
+// A single pass over the bytes. A parser callback at each level would double
+// the cost of parsing.
 bool
 is_nested_too_deeply(std::string_view text)
 {
@@ -101,7 +101,7 @@
 double
 amount_field(const json& j, const char* key)
 {
-  // Whole numbers beyond it can't be told apart.
+  // 2^53: larger integers cannot all be represented exactly as double.
   constexpr double largest = 9007199254740992.0;
   const auto& value = field(j, key);
   const auto amount = value.is_number() ? value.get<double>() : -1;
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -1,9 +1,9 @@
-// Strictly typed fields of what another process wrote: objects of the store,
-// reports, messages of peers.
+// Type-checked access to fields of JSON that another process wrote: objects of
+// the store, reports, messages of peers.
 //
-// Anybody may write to the store. A negative version that is read as a large
-// one would make its engine the newest of all, and an exception for one object
-// would lose the others that came with it.
+// The input is not trusted. A negative version read as a large unsigned number
+// would make its engine the newest of all, and an exception for one object
+// would lose the other objects in the same response.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,7 +17,7 @@
 
 namespace cactusford::store {
 
-// Why a message could not be read: the field, and what is wrong with it.
+// The field that could not be decoded, and the reason.
 struct shape_fault
 {
   std::string field;
@@ -26,7 +26,7 @@
   friend bool operator==(const shape_fault&, const shape_fault&) = default;
 };
 
-// Thrown by the functions below, caught by `read_shape`.
+// Thrown by the functions below, caught by `try_decode`.
 class field_error : public std::exception
 {
 public:
@@ -38,7 +38,7 @@
   shape_fault fault_;
 };
 
-// A value, or why there is none.
+// A decoded value, or the reason why decoding failed.
 template<typename T>
 struct decoded : std::optional<T>
 {
@@ -47,33 +47,34 @@
   shape_fault fault;
 };
 
-// The field's value; `field_error` when it is missing or of another type.
+// Returns the field's value. Throws `field_error` if the field is missing or
+// has another type, as do all functions below.
 const nlohmann::json&
 field(const nlohmann::json& j, const char* key);
 
 const std::string&
 text_field(const nlohmann::json& j, const char* key);
 
-// Whole and not negative: 3.0, true and "3" are none.
+// Requires a non-negative integer; 3.0, true and "3" are errors.
 std::uint64_t
 whole_field(const nlohmann::json& j, const char* key);
 
 bool
 flag_field(const nlohmann::json& j, const char* key);
 
-// Not negative, fractions included.
+// Requires a non-negative number; fractions are allowed.
 double
 amount_field(const nlohmann::json& j, const char* key);
 
 const nlohmann::json&
 list_field(const nlohmann::json& j, const char* key);
 
-// True when the field is there; null counts as absent.
+// Returns true if the field is present; null counts as absent.
 bool
 has_field(const nlohmann::json& j, const char* key);
 
-// The same for fields that may be absent; one of another type is an error all
-// the same.
+// Variants for optional fields: they return `otherwise` if the field is absent.
+// A field of the wrong type is still an error.
 std::string
 text_field_or(const nlohmann::json& j,
               const char* key,
@@ -90,11 +91,12 @@
 double
 amount_field_or(const nlohmann::json& j, const char* key, double otherwise);
 
-// Whole numbers only.
+// Returns an array of non-negative integers.
 std::vector<std::uint64_t>
 wholes_field(const nlohmann::json& j, const char* key);
 
-// Runs a decoder that uses the functions above.
+// Runs a decoder that uses the functions above and turns their exceptions into
+// an error value.
 template<typename F>
 auto
 read_shape(F decode) -> decoded<decltype(decode())>
@@ -110,32 +112,34 @@
   return d;
 }
 
-// Lists and objects inside each other. Messages have a handful; what goes
-// through a value recursively, as its output does, needs stack for each, and a
-// megabyte of opening brackets would end the process.
+// Limit for arrays and objects nested inside each other. Valid messages have a
+// handful of levels. Recursive code, such as the serializer, needs stack for
+// each level, and a megabyte of opening brackets would crash the process.
 constexpr std::size_t deepest_nesting = 64;
 
-// Discarded when it is no JSON, or nested deeper than that.
+// Returns a discarded value if the text is not valid JSON, or is nested too
+// deeply.
 nlohmann::json
 parse_message(std::string_view text);
 
 struct marked_message
 {
-  // Discarded when it is no JSON all the same.
+  // Discarded if the text could not be repaired.
   nlohmann::json value;
   bool has_marks = false;
 };
 
-// Parses a message of which parts can't be read: these are replaced by
-// `unreadable_mark`, so that the rest can be used (`store/salvage.h`).
+// Parses a message that may contain invalid parts. These are replaced by
+// `unreadable_mark`, so that the rest of the message can be used (see
+// `store/salvage.h`).
 marked_message
 parse_marked(std::string_view text);
 
-// Stands for bytes that could not be read; no text holds it otherwise, as it is
-// a code point that is kept free for such use (U+FDD0).
+// Replaces bytes that could not be read. It is the code point U+FDD0, a Unicode
+// noncharacter, which does not occur in valid text.
 constexpr std::string_view unreadable_mark = "\xef\xb7\x90";
 
-// True when some text in it holds the mark.
+// Returns true if any string in the value contains `unreadable_mark`.
 bool
 holds_unreadable(const nlohmann::json& j);
 
--- a/cactusford/store/paths-test.cc
+++ b/cactusford/store/paths-test.cc
@@ -6,8 +6,8 @@
 
 using namespace cactusford::store;
 
-// The store turns this instance away for seconds and serves the others. Results
-// must be listed meanwhile: calls go through a relay.
+// Guards against an instance that cannot list results because the store rejects
+// it for seconds while serving others: calls go through a relay.
 Test(paths, goes_round_a_direct_path_that_is_closed)
 {
   auto t = make_paths(2);
@@ -19,8 +19,8 @@
   cr_assert_eq(*take_path(t, {}, 2100), direct_path, "and direct again later");
 }
 
-// The relay that is listed first has been removed for good. Once, each call
-// waited half a second for it, and never came back to the direct path.
+// The first relay of the list has been removed for good. Guards against each
+// call waiting half a second for it and never returning to the direct path.
 Test(paths, passes_over_a_relay_that_is_gone)
 {
   auto t = make_paths(2);
@@ -37,7 +37,7 @@
 }
 
 // Sidecars learn weight versions through relays, which join their watches. The
-// relays are spread, and the direct path remains.
+// starting relays are spread, and the direct path remains as a fallback.
 Test(paths, begins_with_a_relay_where_that_is_wished)
 {
   auto t = make_paths(2, 2);
@@ -46,10 +46,10 @@
   cr_assert_eq(*take_path(t, { 2, direct_path }, 0), 1);
 }
 
-// The heaviest minute of the store: it is down for everybody for five seconds,
-// and every instance has lists, results and submissions to ask it for, ten of
-// them at a time. Calls are counted that reach it, from a relay and from one of
-// the others. Before, each of these tries was a priced call, and often three.
+// The store is down for everybody for five seconds, its time of highest load:
+// every instance wants lists, results and submissions from it, ten at a time.
+// Counts the calls that reach it, from a relay and from another instance.
+// Guards against each try being a billed call, often three per request.
 Test(paths, asks_a_store_that_is_away_for_all_a_few_times)
 {
   constexpr std::uint64_t outage_ms = 5000;
@@ -82,8 +82,9 @@
   }
 }
 
-// A store that is silent takes a second to show it. Calls that come meanwhile
-// don't wait for it too: one asks, the others fail and are told when to return.
+// An unresponsive store is detected after about a second. Calls made meanwhile
+// must not wait too: one probes, the others fail at once and report when to
+// retry.
 Test(paths, sends_one_call_at_a_time_to_a_path_that_failed)
 {
   auto t = make_paths(0);
@@ -95,10 +96,11 @@
   cr_assert_eq(*take_path(t, {}, 351), direct_path);
 }
 
-// A partition cuts eight of twenty entries off the store, two of the three
-// relays among them. The first relay says that it does not reach the store.
-// Taken for an outage, it was asked again and again, and an owner that had all
-// results of a step whole could list none of them for twelve seconds.
+// A partition cuts eight of twenty entries off the store, among them two of the
+// three relays. Guards against taking the first relay's report that it cannot
+// reach the store for an outage: that relay was asked again and again, and an
+// owner that had all results of a step could list none of them for twelve
+// seconds.
 Test(paths, goes_round_relays_that_are_cut_off_too)
 {
   auto t = make_paths(3);
@@ -121,12 +123,12 @@
   }
 }
 
-// The store falls silent, and every connection to it is dead. An instance gives
-// up on it and asks its relays, which have just found the same. If a relay
-// takes as long to say so as the instance waits for it, the relay seems dead
-// too and is left for four seconds; if the list that follows waits four seconds
-// as well, the store has long been back while callers are refused by what was
-// known before.
+// The store stops answering, and every connection to it is dead. An instance
+// gives up on it and asks its relays, which have just found the same. If a
+// relay takes as long to report that as the instance waits, the relay seems
+// dead too and is avoided for four seconds. If the next list then waits four
+// seconds as well, callers are refused by a stale configuration long after the
+// store is back.
 Test(paths, waits_shortly_on_a_path_that_may_be_dead)
 {
   constexpr answer_limits l;
@@ -176,8 +178,8 @@
   }
 }
 
-// Guards against a relay that asks the first one for each watch, however often
-// that has failed.
+// Guards against a relay that asks the first relay for each watch, no matter
+// how often that has failed.
 Test(paths, close_one_that_failed_to_all_but_one_call)
 {
   auto t = make_paths(2, 1);
@@ -191,8 +193,8 @@
   cr_assert(take_if_open(t, 1, 4100));
 }
 
-// Guards against a second try that is held up by what holds up the first:
-// relays may all be behind the same partition.
+// Guards against a second try that is delayed by the same cause as the first:
+// all relays may be behind the same partition.
 Test(paths, try_the_direct_one_second)
 {
   auto t = make_paths(3, 2);
--- a/cactusford/store/paths.cc
+++ b/cactusford/store/paths.cc
@@ -6,19 +6,21 @@
 
 namespace {
 
-// How often a relay asks a store that is away. A step of a trainer has half a
-// second to spare; three relays make ten calls a second.
+// How often a relay probes a store that is unreachable. A trainer's step has
+// half a second to spare; three relays make ten calls a second.
 constexpr std::uint64_t probe_ms = 300;
 
-// How often the others ask it directly while a relay says that it is away: the
-// relays may be cut off alone.
+// How often other instances probe the store directly while a relay reports it
+// unreachable: the relays alone may be cut off.
 constexpr std::uint64_t avoid_direct_ms = 2000;
 
-// A relay that failed has likely ended, and its successor has another address.
+// A relay that failed has probably ended, and its successor has another
+// address.
 constexpr std::uint64_t avoid_relay_ms = 4000;
 
-// A relay that does not reach the store is asked again as often as it looks
-// itself, if no other path answers; its answer costs no call.
+// A relay that cannot reach the store is asked again as often as it probes the
+// store itself, if no other path answers; its answer costs no call to the
+// store.
 constexpr std::uint64_t avoid_away_ms = probe_ms;
 
 std::uint64_t
@@ -34,7 +36,7 @@
   return t.is_relay || !a_relay_lives ? probe_ms : avoid_direct_ms;
 }
 
-// One call at a time finds out whether a path that failed is open again.
+// One call at a time probes whether a failed path is open again.
 void
 close_while_asked(path_table& t, std::size_t path, std::uint64_t now_ms)
 {
@@ -141,7 +143,7 @@
                         ? l.answer_ms
                         : l.shared_answer_ms - relay_extra_ms);
   }
-  // A call on a path that failed asks whether it is open again.
+  // A call on a path that failed probes whether it is open again.
   const bool is_probe = t.paths[path].last != path_end::answered;
   return what == asked::list && !is_probe ? l.list_ms : l.answer_ms;
 }
--- a/cactusford/store/relay_wire-test.cc
+++ b/cactusford/store/relay_wire-test.cc
@@ -40,8 +40,8 @@
   }
 }
 
-// Guards against a view that counts as newer than it is, as the clocks of two
-// instances differ or the way between them is slow.
+// Guards against a view that counts as newer than it is, because the clocks of
+// two instances differ or the connection between them is slow.
 Test(relay_wire, tells_the_age_of_an_answer_without_comparing_clocks)
 {
   SECTION("held for a second, on the clock of a relay that is far ahead")
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -12,11 +12,11 @@
 
 constexpr std::string_view message_header = "Piggyback";
 
-// When the store stood as a relay's answer says, in milliseconds after the
-// relay was asked; negative for an answer that was there before.
+// The time as of which a relay's answer is valid, in milliseconds after the
+// relay received the call; negative if the answer was made earlier.
 constexpr std::string_view confirmed_header = "Confirmed-After-Ms";
 
-// Far beyond any wait; a larger number is a malformed one.
+// Far longer than any wait; a larger number is malformed.
 constexpr std::int64_t longest_ms = 3600000;
 
 constexpr int unavailable = 503;
@@ -81,7 +81,7 @@
                const relay_notes& notes)
 {
   if (end != http::end_state::complete) {
-    // 503 says that nothing was done; 504 leaves it open.
+    // 503: the call was not executed. 504: it may have been executed.
     auto a = away_answer();
     a.status = end == http::end_state::not_sent ? unavailable : no_answer;
     return a;
--- a/cactusford/store/relay_wire.h
+++ b/cactusford/store/relay_wire.h
@@ -1,5 +1,5 @@
-// What instances say to each other when one makes calls to the store for
-// another. Pure.
+// Messages between instances when one makes calls to the store for another.
+// Pure functions.
 #pragma once
 
 #include "cactusford/http/client.h"
@@ -13,11 +13,11 @@
 
 namespace cactusford::store {
 
-// Path of the relay on the port that instances use among themselves.
+// HTTP path of the relay, on the port that instances use among themselves.
 constexpr std::string_view relay_path = "/store";
 
-// A call that may be joined with equal ones, and how long it is waited for and
-// held by the store.
+// A call that may share its response with identical calls. The caller waits
+// `timeout_ms` for the answer; the store may hold the request for `held_ms`.
 struct held_call
 {
   http::request request;
@@ -31,11 +31,11 @@
 struct relayed_call
 {
   held_call inner;
-  // It may be joined with those of other instances.
+  // May be joined with identical calls of other instances.
   bool shared = false;
-  // Relays that it has passed, the one that reads it included.
+  // Number of relays passed so far, including the one that reads this.
   std::uint64_t hops = 1;
-  // A message that rides along; null: none.
+  // Piggybacked message; null if there is none.
   nlohmann::json message;
 
   friend bool operator==(const relayed_call&, const relayed_call&) = default;
@@ -50,41 +50,42 @@
 // What a relay adds to the store's answer.
 struct relay_notes
 {
-  // When it was asked, and when the store stood as the answer says, on the
-  // relay's `boot_ms`.
+  // When the relay received the call, and the time as of which the answer is
+  // known to be valid, both on the relay's `boot_ms` clock.
   std::uint64_t asked_ms = 0;
   std::uint64_t confirmed_ms = 0;
-  // A message that rides along; null: none.
+  // Piggybacked message; null if there is none.
   nlohmann::json message;
 };
 
-// What a relay answers to a call that ended so.
+// Builds the relay's response to a call that ended with `end`.
 http::response
 relayed_answer(http::end_state end,
                const http::response& r,
                const relay_notes& notes);
 
-// A relay that lives and does not reach the store.
+// The response of a relay that is running but cannot reach the store.
 http::response
 away_answer();
 
 bool
 says_away(const http::response& r);
 
-// The message that came with a relay's answer; null: none.
+// Returns the message piggybacked on a relay's response; null if there is none.
 nlohmann::json
 message_of(const http::response& r);
 
-// When the store stood as a relay's answer says, on the clock of the one that
-// asked. Relative to when the relay was asked, which was later than our asking:
-// a slow way makes an answer look older, never newer.
+// Returns the time as of which a relay's answer is known to be valid, on the
+// clock of the instance that asked. The relay reports it relative to when it
+// received the call, which was later than when the call was sent: a slow
+// connection makes an answer look older, never newer.
 std::uint64_t
 confirmed_by_relay(const http::response& r,
                    std::uint64_t asked_ms,
                    std::uint64_t now_ms);
 
 // The same for an answer of the store itself. A watch that ends without changes
-// was held to its end.
+// has been held for its full wait time.
 std::uint64_t
 confirmed_by_store(std::uint64_t asked_ms,
                    std::uint64_t held_ms,
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -1,4 +1,4 @@
-// The calls that an instance makes to the store for others.
+// The relay side of the client: calls made to the store for other instances.
 #include "cactusford/http/clock.h"
 #include "cactusford/process/line_log.h"
 #include "cactusford/store/store.h"
@@ -7,15 +7,15 @@
 
 namespace cactusford::store {
 
-// A relayed watch may be held for seconds, and the next one follows at once: an
-// instance that leaves would never be idle.
+// A relayed watch may be held for seconds, and the next one follows at once:
+// without this, an instance that shuts down would never become idle.
 void
 client::stop_relaying()
 {
   relaying_ = false;
   for (auto* shared : { &direct_, &upstream_ }) {
     for (const auto& done : shared->take_relayed()) {
-      // Nothing was done, and the store is as well as before.
+      // The call was not executed, and the store is not affected.
       done(http::end_state::complete, { 503, {}, "" }, 0);
     }
   }
@@ -28,8 +28,8 @@
     caller.respond({ 503, {}, "" });
     return;
   }
-  // This instance asks the store itself when that is due: the calls of all
-  // others would find the same.
+  // The direct path has failed, and this instance probes it when that is due.
+  // Calls of other instances would only fail in the same way.
   if (is_direct_closed(paths_, http::now_ms())) {
     caller.respond(away_answer());
     return;
@@ -67,8 +67,8 @@
   caller.on_gone([sent] { sent->cancel(); });
 }
 
-// Instances that follow the same kind from the same revision share one call,
-// and relays share theirs through the first of them.
+// Instances that watch the same kind from the same revision share one call, and
+// relays share theirs through the first relay.
 void
 client::relay_watch(const http::call& caller, const relayed_call& asked)
 {
@@ -90,8 +90,8 @@
   }
 }
 
-// A relay behind the first one joins its watches there, as long as that
-// answers.
+// A relay other than the first one joins its watches there, as long as the
+// first one answers.
 bool
 client::asks_upstream(std::uint64_t hops)
 {
@@ -132,7 +132,8 @@
     };
     http_.fetch(settings_.address, inner.request, o, ended);
   };
-  // An answer that is there already must not come before the call returns.
+  // Posted, so that a reused answer does not arrive before this function
+  // returns.
   asio::post(io_, [this, target = inner.request.target, from, make, done] {
     direct_.ask(target, http::now_ms(), from, make, done);
   });
--- a/cactusford/store/salvage-test.cc
+++ b/cactusford/store/salvage-test.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-// What is left of a list of three when the middle one is as given.
+// Returns the names that can be read from a list of three whose middle element
+// is `broken`.
 std::vector<std::string>
 names_beside(const std::string& broken)
 {
@@ -31,9 +32,9 @@
 
 } // namespace
 
-// The caller sees 503 for every call: an entry knows no backend server at all.
-// Another writer puts one entry into the list that the parser refuses; the
-// whole list is dropped with it, again at each look, until that entry is gone.
+// Guards against 503 for every call because an entry knows no backend server:
+// another writer puts one entry into the list that the parser rejects, and the
+// whole list is dropped with it, at every read, until that entry is removed.
 Test(salvage, one_unreadable_object_hides_no_other)
 {
   SECTION("a value that no parser takes leaves its object's name")
--- a/cactusford/store/salvage.cc
+++ b/cactusford/store/salvage.cc
@@ -18,15 +18,15 @@
 constexpr std::string_view punctuation = "{}[]:,\" \t\r\n";
 constexpr unsigned char first_printable = 0x20;
 
-// The mark as a text and as a code point.
+// The mark as a JSON string and as a code point.
 constexpr std::string_view mark_text = "\"\xef\xb7\x90\"";
 constexpr std::uint32_t mark_code_point = 0xfdd0;
 
-// An escape is a backslash and a letter; for code units `u` and four digits.
+// An escape is a backslash and a letter; for code units, `u` and four digits.
 constexpr std::size_t short_escape = 2;
 constexpr std::size_t unit_escape = 6;
 
-// The UTF-16 code unit of an escape at `at`, if one stands there.
+// Returns the UTF-16 code unit of the escape at `at`, if there is one.
 std::optional<std::uint32_t>
 code_unit(std::string_view text, std::size_t at)
 {
@@ -58,7 +58,7 @@
   return unit >= 0xdc00 && unit < 0xe000;
 }
 
-// How many characters the escape at `at` has, and whether it names a character.
+// The length of an escape sequence, and whether it is valid.
 struct escape_extent
 {
   std::size_t length = short_escape;
@@ -82,7 +82,8 @@
   return { unit_escape, !is_low_surrogate(*first) };
 }
 
-// Copies the text that begins with the quote at `at`; returns what is behind.
+// Copies the string that starts with the quote at `at`; returns the position
+// after it.
 std::size_t
 copy_text(std::string_view text, std::size_t at, std::string& to)
 {
@@ -105,7 +106,7 @@
   return std::min(at, text.size());
 }
 
-// Copies the number or word that begins at `at`; returns what is behind.
+// Copies the number or word that starts at `at`; returns the position after it.
 std::size_t
 copy_word(std::string_view text, std::size_t at, std::string& to)
 {
@@ -119,7 +120,7 @@
   return end;
 }
 
-// Behind the text that begins with the quote at `at`.
+// Returns the position after the string that starts with the quote at `at`.
 std::size_t
 skip_text(std::string_view text, std::size_t at)
 {
@@ -169,14 +170,14 @@
 std::string
 cut_unreadable_elements(std::string_view text)
 {
-  // Inside the outermost object, and inside a list there.
+  // Nesting depths inside the outermost object and inside an array in it.
   constexpr std::size_t in_object = 1;
   constexpr std::size_t in_list = 2;
   std::string cut;
   cut.reserve(text.size());
   std::size_t depth = 0;
   bool is_list = false;
-  // Where the element, or the stretch outside of all lists, begins.
+  // Start of the current element, or of the current section outside all arrays.
   std::size_t begin = 0;
   std::size_t at = 0;
   while (at < text.size()) {
--- a/cactusford/store/salvage.h
+++ b/cactusford/store/salvage.h
@@ -1,11 +1,12 @@
-// Makes what can be read of a message readable when a parser refuses the whole.
-// Pure.
+// Repairs a message that the JSON parser rejects, so that its valid parts can
+// be read. Pure functions.
 //
-// Failure: one entry of a list holds the number 1e400, half of a surrogate pair
-// or a stray comma, and the parser refuses the list with all its other entries.
-// An instance then knows no backend server and refuses every call. Each fault
-// is replaced by the mark where it stands, so the other entries hold and the
-// faulty one shows its name where it has one.
+// Failure that this avoids: one entry of a list contains the number 1e400, half
+// of a surrogate pair or a stray comma, and the parser rejects the list with
+// all its other entries. An instance then knows no backend server and refuses
+// every call. Each invalid part is replaced by `unreadable_mark`, so the other
+// entries stay valid, and the invalid entry still shows its name if that is
+// readable.
 #pragma once
 
 #include <string>
@@ -13,14 +14,15 @@
 
 namespace cactusford::store {
 
-// Replaces bytes that are no UTF-8, control characters and broken escapes
-// inside texts, and numbers and words that JSON does not know, by the mark.
+// Replaces by the mark: invalid UTF-8, control characters and invalid escapes
+// inside strings, and numbers and words that are not valid JSON.
 std::string
 mark_unreadable(std::string_view text);
 
-// Replaces each element of the lists directly inside the outermost object that
-// is no JSON by itself, or is nested too deeply, by a text that is the mark.
-// An element whose brackets do not match takes those behind it with it.
+// In the arrays directly inside the outermost object, replaces each element
+// that is not valid JSON by itself, or is nested too deeply, by a string that
+// is the mark. An element with unbalanced brackets also swallows the elements
+// after it.
 std::string
 cut_unreadable_elements(std::string_view text);
 
--- a/cactusford/store/shared_watches-test.cc
+++ b/cactusford/store/shared_watches-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Asks and notes what comes.
+// Records the results of its watch.
 struct asker
 {
   int answers = 0;
@@ -32,8 +32,8 @@
 
 } // namespace
 
-// Twenty entries follow the same kind. One call for each of them at each change
-// would be most of all calls to the store.
+// Twenty entries watch the same kind. Guards against one call from each of them
+// at each change, which would be most of all calls to the store.
 Test(shared_watches, make_one_call_for_many_that_wait)
 {
   shared_watches w;
@@ -66,8 +66,8 @@
   }
 }
 
-// The store had nothing to tell for the whole wait. Whoever asks again would
-// get that answer at once, ask again, and never stop.
+// Guards against an endless loop: an answer without changes must not be reused,
+// or whoever watches again would get it at once, again and again.
 Test(shared_watches, wait_anew_behind_an_answer_without_changes)
 {
   shared_watches w;
@@ -83,8 +83,8 @@
   cr_assert_eq(calls, 2);
 }
 
-// The call is cut. All that wait must hear of it and list again, and no later
-// one may get the cut answer.
+// The call's connection is lost. All waiters must be notified so that they list
+// again, and no later one may get that result.
 Test(shared_watches, tell_all_of_a_call_that_was_cut)
 {
   shared_watches w;
@@ -120,8 +120,8 @@
   cr_assert_eq(b.answers, 0);
 }
 
-// A relay is told to leave. Those who wait through it are sent elsewhere; its
-// own watch goes on until it has ended.
+// A relay shuts down. Instances that wait through it are sent elsewhere; its
+// own watch continues until it ends.
 Test(shared_watches, let_others_go_when_the_relay_leaves)
 {
   shared_watches w;
@@ -138,8 +138,9 @@
   cr_assert_eq(other.answers, 0);
 }
 
-// Guards against a view that counts as confirmed when its answer came: the call
-// had been made for another instance before, and the answer is shown again.
+// Guards against a view that counts as confirmed at the time its answer
+// arrived: the call had been made earlier for another instance, and its answer
+// is reused.
 Test(shared_watches, tell_when_the_answer_was_true)
 {
   shared_watches w;
--- a/cactusford/store/shared_watches.h
+++ b/cactusford/store/shared_watches.h
@@ -1,5 +1,5 @@
-// Joins equal watches of many instances into one call to the store. No I/O of
-// its own: the call is made by a function that is passed in.
+// Joins identical watches of many instances into one call to the store. Does no
+// I/O itself: the caller passes in a function that makes the call.
 #pragma once
 
 #include "cactusford/http/client.h"
@@ -12,40 +12,41 @@
 
 namespace cactusford::store {
 
-// Watches of one kind from one revision come from all instances at nearly the
-// same time, as the same change has answered the ones before. Those that come
-// a little later get the same answer again for this long, in milliseconds: it
-// spares a call for each of them and is far below the seconds in which a change
-// must be in force.
+// All instances watch a kind from the same revision at nearly the same time, as
+// the previous change completed their watches together. A watch that arrives up
+// to this many milliseconds after an answer gets the same answer again, which
+// saves one call per instance. The time is far below the seconds within which a
+// change must be in force.
 constexpr std::uint64_t reuse_ms = 250;
 
 class shared_watches
 {
 public:
-  // The end of the call, and when the store surely stood as the answer says, on
-  // this instance's `boot_ms`.
+  // Receives how the call ended, the response, and the time as of which the
+  // answer is known to be valid, on this instance's `boot_ms` clock.
   using handler = std::function<
     void(http::end_state, const http::response&, std::uint64_t confirmed_ms)>;
-  // Makes the call to the store; `settle` follows when it has ended.
+  // Makes the call to the store; `complete` must be called when it has ended.
   using call = std::function<void()>;
 
-  // Who asks: this instance itself, or another through it.
+  // Who watches: this instance itself, or another instance through it.
   enum class origin
   {
     own,
     relayed,
   };
 
-  // Answers `done` with the end of the call for `target` that is under way, or
-  // begins one.
+  // Calls `done` with the result of the call for `target` that is in flight;
+  // starts one if there is none.
   void ask(const std::string& target,
            std::uint64_t now_ms,
            origin from,
            const call& make,
            handler done);
 
-  // The call for `target` has ended. Only changes are shown again: whoever
-  // asks again behind an answer without any wants to wait for the next.
+  // Reports that the call for `target` has ended. Only an answer with changes
+  // is reused: whoever watches again after an answer without changes wants to
+  // wait for the next change.
   void settle(const std::string& target,
               std::uint64_t now_ms,
               http::end_state end,
@@ -53,7 +54,7 @@
               std::uint64_t confirmed_ms,
               bool has_changes);
 
-  // Takes the handlers of other instances away without calling them.
+  // Removes and returns the handlers of other instances without calling them.
   std::vector<handler> take_relayed();
 
 private:
@@ -70,7 +71,7 @@
     handler done;
   };
 
-  // An entry stands as long as its call is under way.
+  // An entry exists as long as its call is in flight.
   std::map<std::string, std::vector<waiter>> waiting_;
   std::map<std::string, answer> recent_;
 };
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Relays that are kept in mind, those of the settings included. A partition
-// that cuts off all of them cuts off most instances.
+// Maximum number of known relays, including those of the settings. A partition
+// that cuts off this many cuts off most instances.
 constexpr std::size_t most_relays = 8;
 
-// A little more than a shared watch takes to be found silent.
+// Slightly longer than it takes to detect a shared watch that is silent.
 constexpr std::uint64_t cut_off_ms = 2500;
 
 asked
@@ -33,7 +33,8 @@
   }
 }
 
-// A read whose silence tells soon that the path fails.
+// Returns true for a read that is not held, so that a missing answer soon shows
+// that the path fails.
 bool
 is_answered_at_once(const call& c)
 {
@@ -97,7 +98,7 @@
 
 namespace {
 
-// Spread over the relays by chance; all instances see the same list.
+// Chosen at random, to spread the load: all instances see the same list.
 std::size_t
 first_path(const client_settings& s)
 {
@@ -107,7 +108,7 @@
   return 1 + std::random_device{}() % s.relays.size();
 }
 
-// Where watches begin.
+// The path on which watches start.
 std::size_t
 first_watch_path(const client_settings& s)
 {
@@ -128,7 +129,8 @@
   http::request request;
   handler done;
   std::vector<std::size_t> tried;
-  // Some try had no answer: it may have been done, or may be done later.
+  // Some try got no answer: it may have been executed, or may be executed
+  // later.
   bool unknown = false;
   // Tries that have not ended.
   std::size_t under_way = 0;
@@ -189,7 +191,7 @@
   try_next(a);
 }
 
-// Where a call begins when all paths are well.
+// The path on which a call starts if no path has failed.
 std::size_t
 client::first_path_of(const store::call& c) const
 {
@@ -208,8 +210,8 @@
   }
 }
 
-// A list, or a watch that is not held, may be asked for twice: both answers are
-// true, and the first counts.
+// A list, or a watch that is not held, may be sent twice: both answers are
+// valid, and the first one is used.
 void
 client::try_second_path_later(const std::shared_ptr<attempt>& a)
 {
@@ -225,8 +227,8 @@
   });
 }
 
-// A call on another path than usual asks the relay to make it itself: the relay
-// that all usually go through may be what fails.
+// On any path but the usual one, the relay is asked to make the call itself:
+// the relay through which all watches usually go may be the one that fails.
 std::uint64_t
 client::hops_to(const store::call& c, std::size_t path) const
 {
@@ -254,8 +256,8 @@
   }
   const path_try sent{ path, http::boot_ms() };
   const bool is_watch = a->call.op == operation::watch;
-  // Equal lists of many instances come together after a start and when the
-  // store is back.
+  // Identical lists of many instances arrive together after a start and when
+  // the store is back.
   const bool is_joined = is_watch || a->call.shared;
   const auto timeout_ms = limit_ms(
     settings_.limits, paths_, path, asked_by(a->call.op), a->call.wait_ms);
@@ -302,7 +304,7 @@
              std::uint64_t confirmed_ms)
 {
   const auto now = http::now_ms();
-  // The relays may have been exchanged since the call was sent.
+  // The list of relays may have been replaced since the call was sent.
   const auto path = sent.path < paths_.paths.size() ? sent.path : direct_path;
   const bool complete = end == http::end_state::complete;
   --a->under_way;
@@ -326,8 +328,8 @@
   }
   log_failure(*a, sent, end, answer.what);
   const bool away = path != direct_path && complete && says_away(r);
-  // The store ends waiting watches now and then; the next call tells whether
-  // it is reached. A relay that has gone silent is left.
+  // The store ends waiting watches now and then; the next call shows whether it
+  // is reachable. A relay that stopped answering is marked as failed.
   if (a->call.op == operation::watch && answer.what == verdict::unknown) {
     if (path != direct_path && !away) {
       note_path(paths_, path, path_end::failed, now);
@@ -339,7 +341,8 @@
   if (a->is_settled) {
     return;
   }
-  // A relay that leaves refuses all calls; the store is as well as before.
+  // A relay that shuts down refuses all calls; that says nothing about the
+  // store.
   if (path == direct_path) {
     note_failure(http::name_of(end));
   }
@@ -373,7 +376,7 @@
                       .with("tries", a.tried.size()));
 }
 
-// Takes in what a relay has sent along with the store's answer.
+// Handles the message that a relay piggybacked on the store's answer.
 void
 client::hear(const http::response& r) const
 {
@@ -383,7 +386,7 @@
   }
 }
 
-// What this instance sends along with a watch; null: nothing for now.
+// Returns the message to piggyback on a watch; null for none.
 nlohmann::json
 client::next_message() const
 {
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -21,8 +21,8 @@
 
 namespace cactusford::store {
 
-// Objects are named within a kind. A revision grows with each change in the
-// whole store, so revisions of different objects can be compared.
+// Objects are named within a kind. The revision is global to the store and
+// grows with each change, so revisions of different objects can be compared.
 struct object
 {
   std::string name;
@@ -42,19 +42,20 @@
   friend bool operator==(const change&, const change&) = default;
 };
 
-// An object that could not be read, as another writer's may be. What it held
-// before stands no longer; the others that came with it hold.
+// An object that could not be decoded, as anyone may write to the store. Its
+// previous value is no longer valid; the other objects in the same answer are
+// not affected.
 struct unreadable
 {
-  // Empty when not even the name could be read.
+  // Empty if not even the name could be read.
   std::string name;
   shape_fault fault;
 
   friend bool operator==(const unreadable&, const unreadable&) = default;
 };
 
-// One line for an object that could not be read: its name, the field, the
-// fault. The log bounds how many there are.
+// Logs an object that could not be decoded: its name, the field and the reason.
+// The log limits the number of such lines.
 void
 log_unreadable(std::string_view kind, const unreadable& u);
 
@@ -69,7 +70,7 @@
   remove,
 };
 
-// The shortest wait of a watch: it only asks whether there are changes.
+// The shortest wait time of a watch, which only checks for changes.
 constexpr std::uint64_t least_hold_ms = 1;
 
 struct call
@@ -77,17 +78,18 @@
   operation op = operation::get;
   std::string kind;
   std::string name;
-  // Only if the object still has this revision; 0: whatever it has.
+  // Precondition: the object still has this revision; 0 for any revision.
   std::uint64_t revision = 0;
-  // For `list`: names behind this one. For `watch`: changes behind `since`,
-  // held back for at most `wait_ms` until there is one.
+  // For `list`: returns names after this one. For `watch`: returns changes
+  // after `since`; the store holds the call for at most `wait_ms` until there
+  // is one.
   std::string after;
   std::uint64_t since = 0;
   std::uint64_t wait_ms = 0;
   // A watch or list that may be joined with those of other instances.
   bool shared = false;
-  // For `create` and `replace` the specification, for `replace_status` the
-  // status.
+  // The specification for `create` and `replace`, the status for
+  // `replace_status`.
   nlohmann::json body;
 
   friend bool operator==(const call&, const call&) = default;
@@ -96,15 +98,15 @@
 enum class verdict
 {
   done,
-  // The object exists already, or has another revision: `items` holds it if
-  // the store showed it.
+  // The object already exists, or has another revision. `items` contains it if
+  // the store returned it.
   conflict,
   missing,
-  // The watched history has been dropped: list again.
+  // The store has dropped the watched history: list again.
   history_gone,
-  // Nothing was done.
+  // The call has not been executed.
   refused,
-  // No answer: it may have been done, or may be done later.
+  // No answer: the call may have been executed, or may be executed later.
   unknown,
 };
 
@@ -121,20 +123,21 @@
   std::vector<change> changes;
   std::vector<unreadable> broken;
   bool more = false;
-  // For a list with more to come: the name to go on behind.
+  // If there are more pages: the name after which the next page starts.
   std::string last_name;
   std::uint64_t as_of = 0;
-  // When the store surely stood as this says, on this instance's `boot_ms`: all
-  // that it had confirmed before is in it.
+  // The time as of which this answer is known to be valid, on this instance's
+  // `boot_ms` clock: it includes everything that the store had confirmed
+  // before.
   std::uint64_t confirmed_ms = 0;
-  // An earlier attempt of the same call had no answer: a conflict may be with
-  // our own write.
+  // An earlier attempt of the same call got no answer, so a conflict may be
+  // with this client's own write.
   bool after_unknown = false;
 
   friend bool operator==(const reply&, const reply&) = default;
 };
 
-// How calls look on the wire.
+// Encodes calls to HTTP requests and decodes the responses.
 struct dialect
 {
   std::function<http::request(const call&)> encode;
@@ -144,37 +147,38 @@
 struct client_settings
 {
   std::string address;
-  // Instances that make calls for others, "ip:port".
+  // Instances that make calls for others, as "ip:port".
   std::vector<std::string> relays;
-  // Calls go through a relay as long as one answers. Relays join equal watches
-  // of many instances into one call.
+  // Calls go through a relay as long as one answers. Relays join identical
+  // watches of many instances into one call.
   bool prefer_relays = false;
-  // Watches that may be shared go through a relay; other calls directly.
+  // Watches that may be shared go through a relay; other calls go directly.
   bool share_watches = false;
-  // Where this instance stands in the list of relays, if it is one. The first
-  // makes the watches of all; the others join theirs through it.
+  // Position of this instance in the list of relays, if it is one. The first
+  // relay makes the watches of all; the other relays join theirs through it.
   std::optional<std::size_t> rank = {};
   answer_limits limits = {};
 };
 
-// Small messages that ride along with the watches that one instance makes for
-// another. What they hold is no matter of the store.
+// Small messages that are piggybacked on the watches that one instance makes
+// for another. The store client does not interpret them.
 struct piggyback
 {
-  // What this instance sends with its next watch; null: nothing for now.
+  // Returns the message to send with the next watch; null for none.
   std::function<nlohmann::json()> outgoing;
-  // What it answers, as a relay, to what another instance sent.
+  // As a relay, returns the reply to another instance's message.
   std::function<nlohmann::json(const nlohmann::json&)> answer;
-  // Takes in what a relay has answered.
+  // Handles the reply of a relay.
   std::function<void(const nlohmann::json&)> incoming;
 };
 
-// Relays between an instance and the store, for a watch. Lists of relays may
-// differ, and two that each take the other for the first would go on for ever.
+// Maximum number of relays between an instance and the store, for a watch.
+// Lists of relays may differ between instances, and two relays that each take
+// the other for the first one would forward a watch forever.
 constexpr std::uint64_t most_hops = 2;
 
-// Instances and the store are near; a connection that takes longer is not to
-// be had.
+// Instances and the store are close to each other; a connection that takes
+// longer is not going to succeed.
 constexpr std::uint64_t connect_ms = 250;
 
 class client
@@ -187,28 +191,28 @@
          const dialect& d,
          client_settings s);
 
-  // Tries up to three paths; a list on two at a time if the first is slow.
+  // Tries up to three paths. A list goes out on two paths at a time if the
+  // first one is slow.
   void perform(const call& c, handler done);
 
-  // Other instances that make calls for this one from now on, and where this
-  // one stands among them.
+  // Replaces the list of relays, and this instance's position among them.
   void use_relays(std::vector<std::string> relays,
                   std::optional<std::size_t> rank);
 
-  // One more instance that may make calls for this one, beside those of the
-  // settings: they may all be cut off with it.
+  // Adds a relay to those of the settings, which may all be cut off together
+  // with this instance.
   void learn_relay(const std::string& address);
 
-  // Makes the call of another instance and answers with what the store said.
+  // Makes the call of another instance and returns the store's answer.
   void relay(const http::call& caller);
 
-  // Sends those whose calls this instance relays elsewhere.
+  // Refuses the calls of other instances, which then use another relay.
   void stop_relaying();
 
-  // The last answer of the store, on the steady clock; 0 before the first.
+  // Time of the store's last answer on the steady clock; 0 before the first.
   std::uint64_t last_answer_ms() const { return last_answer_ms_; }
 
-  // No path has reached the store for a while.
+  // Returns true if no path has reached the store for a while.
   bool is_cut_off(std::uint64_t now_ms) const;
 
   std::uint64_t calls() const { return calls_; }
@@ -216,8 +220,8 @@
   // Tries that the store or a relay did not answer, or refused.
   std::uint64_t failed_tries() const { return failed_tries_; }
 
-  // Called when the store answers again after a failure, with how long it had
-  // not answered on any path, in milliseconds.
+  // Called when the store answers again after a failure, with the time without
+  // an answer on any path, in milliseconds.
   std::function<void(std::uint64_t)> on_regained;
   std::function<void(std::string_view)> on_lost;
 
@@ -225,7 +229,7 @@
 
 private:
   struct attempt;
-  // One path on which a call has been sent, and when, on `boot_ms`.
+  // One path on which a call was sent, and when, on the `boot_ms` clock.
   struct path_try
   {
     std::size_t path = direct_path;
@@ -278,8 +282,8 @@
   bool lost_ = false;
   bool relaying_ = true;
   std::size_t first_watch_path_ = direct_path;
-  // Watches that are made here, for this instance and others; and those that
-  // are joined through the first relay.
+  // Watches made directly, for this instance and others, and watches joined
+  // through the first relay.
   shared_watches direct_;
   shared_watches upstream_;
 };
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -10,16 +10,16 @@
 
 namespace {
 
-// Between the beginnings of a failed call and the next, in milliseconds. A
-// store that is back should be found well within a second; how often it is
-// asked is for the paths to say.
+// Time from the start of a failed call to the start of the next, in
+// milliseconds. Recovery of the store should be noticed well within a second;
+// the paths limit how often it is actually asked.
 constexpr std::uint64_t first_pause_ms = 50;
 constexpr std::uint64_t longest_pause_ms = 400;
 
-// An answer with changes may have been held up by a relay that stood still, and
-// the relay may be silent next: the wait for the answer and the whole of the
-// next watch would be longer than a change may take. A view that is older than
-// this is confirmed by a watch that the store does not hold.
+// An answer with changes may have been delayed by a relay that was paused, and
+// the relay may be silent next: the delay plus the whole next watch would
+// exceed the time within which a change must be known. A view that is older
+// than this is confirmed by a watch that the store does not hold.
 constexpr std::uint64_t old_ms = 150;
 
 std::uint64_t
@@ -75,7 +75,7 @@
   store_.perform(c, std::move(done));
 }
 
-// A call that was waited for has been pause enough.
+// The duration of the failed call counts towards the pause.
 std::uint64_t
 watcher::pause_left() const
 {
@@ -84,7 +84,8 @@
   return waited < pause ? pause - waited : 0;
 }
 
-// One check behind each long watch: a slow store would be asked for ever.
+// At most one check after each long watch, as a slow store would be asked
+// forever otherwise.
 void
 watcher::decide_check()
 {
@@ -92,8 +93,9 @@
   is_check_ = settings_.is_urgent && !is_check_ && age > old_ms;
 }
 
-// A relay that falls silent while changes gather is found silent no later than
-// another. Equal for all that follow a kind, so that their watches are joined.
+// Subtracts the pause, so that a relay that falls silent during it is detected
+// no later than otherwise. The result is equal for all watchers of a kind, so
+// that their watches can be joined.
 std::uint64_t
 watcher::hold_ms() const
 {
@@ -122,8 +124,8 @@
       wait_and_watch(pause_left());
       return;
     }
-    // Pages are read one after the other; changes since the first of them
-    // come again with the watch, which does no harm.
+    // Pages are read one after the other; the watch repeats changes since the
+    // first of them, which is harmless.
     if (sofar.first_as_of == 0) {
       sofar.first_as_of = r.as_of;
       sofar.confirmed_ms = r.confirmed_ms;
@@ -132,7 +134,7 @@
       r.items.begin(), r.items.end(), std::back_inserter(sofar.objects));
     std::move(
       r.broken.begin(), r.broken.end(), std::back_inserter(sofar.broken));
-    // A page without a readable name would be asked for again for ever.
+    // A page without a readable name would be requested forever.
     const bool moves_on = !r.last_name.empty() && r.last_name != sofar.after;
     if (r.more && moves_on) {
       sofar.after = r.last_name;
@@ -143,8 +145,8 @@
   });
 }
 
-// A list that was joined with one of another instance may be older than what
-// came with a watch since.
+// A list that was joined with one of another instance may be older than what a
+// watch has shown since.
 bool
 watcher::is_older_than_shown(const listing& l) const
 {
@@ -256,18 +258,19 @@
     return;
   }
   if (r.what != verdict::done) {
-    // A watch that was cut may have missed changes whose history is dropped
-    // a moment later. The next watch would be held as if nothing had changed;
-    // a list shows what stands.
+    // A watch whose connection was lost may have missed changes whose history
+    // is dropped a moment later. The next watch would be held as if nothing had
+    // changed; a list returns the current state.
     needs_list_ = true;
     note_failed(operation::watch, r.what);
     wait_and_watch(pause_left());
     return;
   }
-  // An answer without changes may have been made while the store held some
-  // back: its revision is then ahead of what we were shown, and going on from
-  // there would skip them for good. From the older one they still come, or
-  // the history is gone and the kind is listed again.
+  // An answer without changes may have been made while the store was still
+  // holding some back. Its revision is then ahead of the changes received, and
+  // continuing from it would skip them for good. Watching from the older
+  // revision still returns them, or the history is gone and the kind is listed
+  // again.
   const bool has_news = !r.changes.empty() || !r.broken.empty();
   if (has_news) {
     as_of_ = std::max(as_of_, r.as_of);
--- a/cactusford/store/watcher.h
+++ b/cactusford/store/watcher.h
@@ -1,4 +1,4 @@
-// Follows all objects of a kind: lists them once, then waits for changes.
+// Watches all objects of a kind: lists them once, then waits for changes.
 #pragma once
 
 #include "cactusford/http/clock.h"
@@ -8,29 +8,32 @@
 
 struct watch_events
 {
-  // The whole kind, at the first list and whenever history was lost.
+  // Receives the whole kind, after the first list and whenever history was
+  // lost.
   std::function<void(std::vector<object>&&)> on_list;
   std::function<void(change&&)> on_change;
-  // After each answer of the store, changed or not.
+  // Called after each answer of the store, with or without changes.
   std::function<void()> on_current;
-  // An object whose frame could not be read. Default: it is logged.
+  // Receives an object that could not be decoded. Default: it is logged.
   std::function<void(const unreadable&)> on_unreadable = {};
 };
 
 struct watch_settings
 {
   std::string kind;
-  // How long the store may hold a watch. A connection on which the answer was
-  // lost stays silent, so this bounds how old our view can become unnoticed.
+  // How long the store may hold a watch. A connection that lost the answer
+  // stays silent, so this bounds how stale the view can become unnoticed.
   std::uint64_t wait_ms = 5000;
-  // Pause after each answer, in which changes gather: each watch is a call. It
-  // counts as part of `wait_ms`.
+  // Pause after an answer with changes, so that further changes arrive
+  // together: each watch is a billed call. The pause counts towards `wait_ms`.
   std::uint64_t gather_ms = 0;
-  // The watch may be joined with those of other instances. It is then as
-  // fresh as the relay that makes it, or found to be silent after `wait_ms`.
+  // The watch may be joined with those of other instances. It is then as fresh
+  // as that of the relay that makes it; a relay that falls silent is detected
+  // after `wait_ms`.
   bool shared = false;
-  // Changes must be known within the time that the deployment promises. A view
-  // that an answer leaves old is confirmed at once, before the next long watch.
+  // Changes must be known within the time that the deployment guarantees. If an
+  // answer leaves the view stale, it is confirmed at once, before the next long
+  // watch.
   bool is_urgent = false;
 };
 
@@ -45,20 +48,20 @@
   void start();
   void stop();
 
-  // Asks again at once, such as when the store is back.
+  // Asks the store again at once, such as when it is reachable again.
   void refresh();
 
-  // The kind has been listed at least once.
+  // Returns true once the kind has been listed.
   bool is_current() const { return listed_; }
 
-  // All that the store had confirmed before this moment of `boot_ms` is in the
-  // view.
+  // The view includes everything that the store had confirmed before this time
+  // on the `boot_ms` clock.
   std::uint64_t confirmed_ms() const { return confirmed_ms_; }
 
   std::uint64_t as_of() const { return as_of_; }
 
 private:
-  // What the pages of a list have shown so far.
+  // The pages of a list read so far.
   struct listing
   {
     std::string after;
@@ -90,12 +93,13 @@
   std::uint64_t confirmed_ms_ = 0;
   // When the last call was made.
   std::uint64_t asked_ms_ = 0;
-  // The next watch only asks whether the last answer still holds.
+  // The next watch only checks whether the last answer is still valid.
   bool is_check_ = false;
-  // Changes have gathered since the last answer.
+  // Changes may have accumulated during the pause since the last answer.
   bool has_gathered_ = false;
-  // Grows when the view is asked for again at once. Answers of an older round
-  // are true as well, but only the newest goes on asking.
+  // Incremented when the watcher asks again at once. Answers to calls of an
+  // earlier round are still used, but only the newest round makes further
+  // calls.
   std::uint64_t round_ = 0;
   std::uint32_t failures_ = 0;
   bool listed_ = false;
