--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -28,7 +28,7 @@
 store::decoded<told_use>
 told_use_from(const nlohmann::json& j)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     told_use t;
     t.instance = store::text_field(j, "instance");
     const auto& runs = store::field(j, "runs");
--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -147,7 +147,7 @@
 store::decoded<stored_chunk>
 decode_chunk(const nlohmann::json& spec)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     stored_chunk c;
     c.epoch = store::whole_field(spec, "epoch");
     for (const auto& j : store::list_field(spec, "list")) {
@@ -192,7 +192,7 @@
              const nlohmann::json& spec,
              const nlohmann::json& status)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     stored_batch b;
     b.id = name;
     b.revision = revision;
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -28,12 +28,12 @@
 {
   progress p;
   const auto list =
-    store::read_shape([&] { return store::list_field(spec, "list"); });
+    store::try_decode([&] { return store::list_field(spec, "list"); });
   if (!list) {
     return p;
   }
   for (const auto& j : *list) {
-    const auto read = store::read_shape([&] {
+    const auto read = store::try_decode([&] {
       item_text t;
       t.last_event = store::whole_field(j, "last_event");
       t.events = store::whole_field(j, "count");
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -31,7 +31,7 @@
 store::decoded<holder>
 holder_from(const nlohmann::json& spec)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     return holder{ store::text_field(spec, "holder"),
                    store::text_field(spec, "address"),
                    store::whole_field(spec, "progress") };
--- a/cactusford/edge/piggyback.cc
+++ b/cactusford/edge/piggyback.cc
@@ -13,7 +13,7 @@
 std::optional<std::string>
 sidecar_from(const nlohmann::json& sent)
 {
-  return store::read_shape([&] { return store::text_field(sent, "sidecar"); });
+  return store::try_decode([&] { return store::text_field(sent, "sidecar"); });
 }
 
 std::uint32_t
@@ -34,7 +34,7 @@
 rank_from(const nlohmann::json& answered)
 {
   const auto rank =
-    store::read_shape([&] { return store::whole_field(answered, "rank"); });
+    store::try_decode([&] { return store::whole_field(answered, "rank"); });
   return rank ? std::optional{ static_cast<std::uint32_t>(*rank) }
               : std::nullopt;
 }
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -65,7 +65,7 @@
     return members;
   }
   for (const auto& e : j) {
-    auto m = store::read_shape([&] {
+    auto m = store::try_decode([&] {
       return member{ store::text_field(e, "instance"),
                      store::text_field(e, "address"),
                      store::amount_field(e, "capacity"),
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -65,7 +65,7 @@
 store::decoded<report>
 report_from(const json& spec)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     report r;
     r.reporter = store::text_field(spec, "by");
     r.at_ms = store::whole_field(spec, "at_ms");
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -99,7 +99,7 @@
 // an error value.
 template<typename F>
 auto
-read_shape(F decode) -> decoded<decltype(decode())>
+try_decode(F decode) -> decoded<decltype(decode())>
 {
   decoded<decltype(decode())> d;
   try {
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -55,7 +55,7 @@
 relayed_call_from(std::string_view body)
 {
   const auto j = parse_message(body);
-  return read_shape([&] {
+  return try_decode([&] {
     relayed_call c;
     c.inner.request.method = text_field(j, "method");
     c.inner.request.target = text_field(j, "target");
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -44,7 +44,7 @@
 store::decoded<counts>
 counts_from(const json& j)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     if (!j.is_object() || j.size() > most_workspaces) {
       throw store::field_error{ { "counts", "no counts by workspace" } };
     }
@@ -71,7 +71,7 @@
 store::decoded<told_counts>
 told_counts_from(const json& j)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     told_counts t;
     t.instance = store::text_field(j, "instance");
     t.started_ms = store::whole_field(j, "started_ms");
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -39,9 +39,9 @@
 store::decoded<store::object>
 read_object(const json& j, store::reply& r)
 {
-  auto o = store::read_shape([&] { return object_from(j); });
+  auto o = store::try_decode([&] { return object_from(j); });
   const auto name =
-    store::read_shape([&] { return store::text_field(j, "name"); });
+    store::try_decode([&] { return store::text_field(j, "name"); });
   if (!o) {
     r.broken.push_back({ name.value_or(""), o.fault });
   }
@@ -206,7 +206,7 @@
 store::decoded<routes::table>
 table_from(const store::object& o)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     routes::table t;
     t.version = store::whole_field(o.spec, "version");
     for (const auto& r : store::list_field(o.spec, "routes")) {
@@ -222,7 +222,7 @@
 store::decoded<backends::announcement>
 announcement_from(const store::object& o)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     backends::announcement a;
     a.id = o.name;
     a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
@@ -277,7 +277,7 @@
   };
   d.store.decode = decode_reply;
   d.submission_from = [](std::string_view body) {
-    return store::read_shape(
+    return store::try_decode(
       [&] { return submission_from(json::parse(body)); });
   };
   d.encode_page = encode_page;
--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -26,7 +26,7 @@
 store::decoded<edge::engine_report>
 report_from(const http::response& a)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     const auto j = store::parse_message(a.body);
     edge::engine_report r;
     r.started_ms = store::whole_field(j, "started_ms");
