--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -109,7 +109,7 @@
 void
 loader::note_up(bool is_up,
                 http::end_state end,
-                const store::shape_fault& fault)
+                const store::decode_error& fault)
 {
   if (is_up == was_up_) {
     return;
--- a/cactusford/orders/loader.h
+++ b/cactusford/orders/loader.h
@@ -46,7 +46,7 @@
   void look();
   void note_up(bool is_up,
                http::end_state end,
-               const store::shape_fault& fault);
+               const store::decode_error& fault);
   bool take_life(const edge::engine_report& r);
   void on_report(const edge::engine_report& r);
   void note_versions(const edge::engine_report& r);
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -47,7 +47,7 @@
 
 } // namespace
 
-field_error::field_error(shape_fault f)
+field_error::field_error(decode_error f)
   : fault_{ std::move(f) }
 {
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -18,24 +18,24 @@
 namespace cactusford::store {
 
 // The field that could not be decoded, and the reason.
-struct shape_fault
+struct decode_error
 {
   std::string field;
   std::string what;
 
-  friend bool operator==(const shape_fault&, const shape_fault&) = default;
+  friend bool operator==(const decode_error&, const decode_error&) = default;
 };
 
 // Thrown by the functions below, caught by `try_decode`.
 class field_error : public std::exception
 {
 public:
-  explicit field_error(shape_fault f);
+  explicit field_error(decode_error f);
   const char* what() const noexcept override { return fault_.what.c_str(); }
-  const shape_fault& fault() const noexcept { return fault_; }
+  const decode_error& fault() const noexcept { return fault_; }
 
 private:
-  shape_fault fault_;
+  decode_error fault_;
 };
 
 // A decoded value, or the reason why decoding failed.
@@ -44,7 +44,7 @@
 {
   using std::optional<T>::optional;
 
-  shape_fault fault;
+  decode_error fault;
 };
 
 // Returns the field's value. Throws `field_error` if the field is missing or
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -49,7 +49,7 @@
 {
   // Empty if not even the name could be read.
   std::string name;
-  shape_fault fault;
+  decode_error fault;
 
   friend bool operator==(const unreadable&, const unreadable&) = default;
 };
