--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -30,7 +30,7 @@
 {
   return store::try_decode([&] {
     told_use t;
-    t.instance = store::text_field(j, "instance");
+    t.instance = store::string_field(j, "instance");
     const auto& runs = store::field(j, "runs");
     if (!runs.is_object() || runs.size() > most_engines) {
       throw store::field_error{ { "runs", "no runs by engine" } };
--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -152,11 +152,11 @@
     c.epoch = store::whole_field(spec, "epoch");
     for (const auto& j : store::list_field(spec, "list")) {
       item_result r;
-      r.id = store::text_field(j, "item");
+      r.id = store::string_field(j, "item");
       r.done = store::flag_field(j, "done");
-      r.text = store::text_field(j, "text");
+      r.text = store::string_field(j, "text");
       r.versions = store::wholes_field(j, "weights");
-      r.score = store::text_field(j, "score");
+      r.score = store::string_field(j, "score");
       c.results.push_back(std::move(r));
     }
     return c;
@@ -196,14 +196,14 @@
     stored_batch b;
     b.id = name;
     b.revision = revision;
-    b.host = store::text_field(spec, "caller_host");
-    b.target = store::text_field(spec, "target");
+    b.host = store::string_field(spec, "caller_host");
+    b.target = store::string_field(spec, "target");
     b.workspace = store::text_field_or(spec, "workspace", "");
     b.accepted_wall_ms = store::whole_field(spec, "accepted_ms");
     b.items = store::whole_field(spec, "items");
     b.parts = store::whole_field(spec, "parts");
-    b.owner = store::text_field(spec, "first_owner");
-    b.owner_address = store::text_field(spec, "first_address");
+    b.owner = store::string_field(spec, "first_owner");
+    b.owner_address = store::string_field(spec, "first_address");
     b.owner_capacity = store::amount_field(spec, "first_capacity");
     b.owner = store::text_field_or(status, "owner", b.owner);
     b.owner_address =
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -37,10 +37,10 @@
       item_text t;
       t.last_event = store::whole_field(j, "last_event");
       t.events = store::whole_field(j, "count");
-      t.text = store::text_field(j, "text");
+      t.text = store::string_field(j, "text");
       t.versions = store::wholes_field(j, "weights");
       t.version = store::whole_field(j, "weight");
-      return std::pair{ store::text_field(j, "item"), std::move(t) };
+      return std::pair{ store::string_field(j, "item"), std::move(t) };
     });
     // Starting an item anew costs time and breaks nothing.
     if (read) {
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -32,8 +32,8 @@
 holder_from(const nlohmann::json& spec)
 {
   return store::try_decode([&] {
-    return holder{ store::text_field(spec, "holder"),
-                   store::text_field(spec, "address"),
+    return holder{ store::string_field(spec, "holder"),
+                   store::string_field(spec, "address"),
                    store::whole_field(spec, "progress") };
   });
 }
--- a/cactusford/edge/piggyback.cc
+++ b/cactusford/edge/piggyback.cc
@@ -13,7 +13,8 @@
 std::optional<std::string>
 sidecar_from(const nlohmann::json& sent)
 {
-  return store::try_decode([&] { return store::text_field(sent, "sidecar"); });
+  return store::try_decode(
+    [&] { return store::string_field(sent, "sidecar"); });
 }
 
 std::uint32_t
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -66,8 +66,8 @@
   }
   for (const auto& e : j) {
     auto m = store::try_decode([&] {
-      return member{ store::text_field(e, "instance"),
-                     store::text_field(e, "address"),
+      return member{ store::string_field(e, "instance"),
+                     store::string_field(e, "address"),
                      store::amount_field(e, "capacity"),
                      store::whole_field(e, "started_ms") };
     });
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -33,7 +33,7 @@
 ended_life
 life_from(const json& j)
 {
-  const auto& backend = store::text_field(j, "backend");
+  const auto& backend = store::string_field(j, "backend");
   if (backend.size() > longest_id) {
     throw store::field_error{ { "backend", "too long" } };
   }
@@ -67,10 +67,10 @@
 {
   return store::try_decode([&] {
     report r;
-    r.reporter = store::text_field(spec, "by");
+    r.reporter = store::string_field(spec, "by");
     r.at_ms = store::whole_field(spec, "at_ms");
     r.answered = works_from(store::list_field(spec, "answered"));
-    r.trial = store::text_field(spec, "trial");
+    r.trial = store::string_field(spec, "trial");
     if (!r.trial.empty()) {
       check_fingerprint(r.trial);
     }
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -66,7 +66,7 @@
 }
 
 const std::string&
-text_field(const json& j, const char* key)
+string_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_string()) {
@@ -131,7 +131,7 @@
 std::string
 text_field_or(const json& j, const char* key, std::string_view otherwise)
 {
-  return has_field(j, key) ? text_field(j, key) : std::string{ otherwise };
+  return has_field(j, key) ? string_field(j, key) : std::string{ otherwise };
 }
 
 std::uint64_t
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -53,7 +53,7 @@
 field(const nlohmann::json& j, const char* key);
 
 const std::string&
-text_field(const nlohmann::json& j, const char* key);
+string_field(const nlohmann::json& j, const char* key);
 
 // Requires a non-negative integer; 3.0, true and "3" are errors.
 std::uint64_t
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -57,9 +57,9 @@
   const auto j = parse_message(body);
   return try_decode([&] {
     relayed_call c;
-    c.inner.request.method = text_field(j, "method");
-    c.inner.request.target = text_field(j, "target");
-    c.inner.request.body = text_field(j, "body");
+    c.inner.request.method = string_field(j, "method");
+    c.inner.request.target = string_field(j, "target");
+    c.inner.request.body = string_field(j, "body");
     c.inner.timeout_ms = whole_field(j, "timeout_ms");
     c.inner.held_ms = whole_field_or(j, "held_ms", 0);
     c.shared = flag_field(j, "shared");
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -73,7 +73,7 @@
 {
   return store::try_decode([&] {
     told_counts t;
-    t.instance = store::text_field(j, "instance");
+    t.instance = store::string_field(j, "instance");
     t.started_ms = store::whole_field(j, "started_ms");
     const auto& open = store::list_field(j, "open");
     if (open.size() > most_windows) {
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -25,7 +25,7 @@
 object_from(const json& j)
 {
   store::object o;
-  o.name = store::text_field(j, "name");
+  o.name = store::string_field(j, "name");
   o.revision = store::whole_field(j, "revision");
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
@@ -41,7 +41,7 @@
 {
   auto o = store::try_decode([&] { return object_from(j); });
   const auto name =
-    store::try_decode([&] { return store::text_field(j, "name"); });
+    store::try_decode([&] { return store::string_field(j, "name"); });
   if (!o) {
     r.broken.push_back({ name.value_or(""), o.fault });
   }
@@ -226,8 +226,8 @@
     backends::announcement a;
     a.id = o.name;
     a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
-    a.service = store::text_field(o.spec, "service");
-    a.address = store::text_field(o.spec, "address");
+    a.service = store::string_field(o.spec, "service");
+    a.address = store::string_field(o.spec, "address");
     a.slots = static_cast<std::uint32_t>(store::whole_field(o.spec, "slots"));
     a.versions["m"] = store::whole_field_or(o.spec, "version", 0);
     return a;
