--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -198,16 +198,16 @@
     b.revision = revision;
     b.host = store::string_field(spec, "caller_host");
     b.target = store::string_field(spec, "target");
-    b.workspace = store::text_field_or(spec, "workspace", "");
+    b.workspace = store::string_field_or(spec, "workspace", "");
     b.accepted_wall_ms = store::whole_field(spec, "accepted_ms");
     b.items = store::whole_field(spec, "items");
     b.parts = store::whole_field(spec, "parts");
     b.owner = store::string_field(spec, "first_owner");
     b.owner_address = store::string_field(spec, "first_address");
     b.owner_capacity = store::amount_field(spec, "first_capacity");
-    b.owner = store::text_field_or(status, "owner", b.owner);
+    b.owner = store::string_field_or(status, "owner", b.owner);
     b.owner_address =
-      store::text_field_or(status, "owner_address", b.owner_address);
+      store::string_field_or(status, "owner_address", b.owner_address);
     b.owner_capacity =
       store::amount_field_or(status, "owner_capacity", b.owner_capacity);
     b.ended = store::flag_field_or(status, "ended", false);
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -129,7 +129,7 @@
 }
 
 std::string
-text_field_or(const json& j, const char* key, std::string_view otherwise)
+string_field_or(const json& j, const char* key, std::string_view otherwise)
 {
   return has_field(j, key) ? string_field(j, key) : std::string{ otherwise };
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -76,9 +76,9 @@
 // Variants for optional fields: they return `otherwise` if the field is absent.
 // A field of the wrong type is still an error.
 std::string
-text_field_or(const nlohmann::json& j,
-              const char* key,
-              std::string_view otherwise);
+string_field_or(const nlohmann::json& j,
+                const char* key,
+                std::string_view otherwise);
 
 std::uint64_t
 whole_field_or(const nlohmann::json& j,
