--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -36,7 +36,7 @@
       throw store::field_error{ { "runs", "no runs by engine" } };
     }
     for (const auto& [engine, count] : runs.items()) {
-      const auto n = store::whole_field(runs, engine.c_str());
+      const auto n = store::uint_field(runs, engine.c_str());
       if (n > std::numeric_limits<std::uint32_t>::max()) {
         throw store::field_error{ { engine, "too large" } };
       }
--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -149,7 +149,7 @@
 {
   return store::try_decode([&] {
     stored_chunk c;
-    c.epoch = store::whole_field(spec, "epoch");
+    c.epoch = store::uint_field(spec, "epoch");
     for (const auto& j : store::list_field(spec, "list")) {
       item_result r;
       r.id = store::string_field(j, "item");
@@ -199,9 +199,9 @@
     b.host = store::string_field(spec, "caller_host");
     b.target = store::string_field(spec, "target");
     b.workspace = store::string_field_or(spec, "workspace", "");
-    b.accepted_wall_ms = store::whole_field(spec, "accepted_ms");
-    b.items = store::whole_field(spec, "items");
-    b.parts = store::whole_field(spec, "parts");
+    b.accepted_wall_ms = store::uint_field(spec, "accepted_ms");
+    b.items = store::uint_field(spec, "items");
+    b.parts = store::uint_field(spec, "parts");
     b.owner = store::string_field(spec, "first_owner");
     b.owner_address = store::string_field(spec, "first_address");
     b.owner_capacity = store::amount_field(spec, "first_capacity");
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -35,11 +35,11 @@
   for (const auto& j : *list) {
     const auto read = store::try_decode([&] {
       item_text t;
-      t.last_event = store::whole_field(j, "last_event");
-      t.events = store::whole_field(j, "count");
+      t.last_event = store::uint_field(j, "last_event");
+      t.events = store::uint_field(j, "count");
       t.text = store::string_field(j, "text");
       t.versions = store::wholes_field(j, "weights");
-      t.version = store::whole_field(j, "weight");
+      t.version = store::uint_field(j, "weight");
       return std::pair{ store::string_field(j, "item"), std::move(t) };
     });
     // Starting an item anew costs time and breaks nothing.
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -34,7 +34,7 @@
   return store::try_decode([&] {
     return holder{ store::string_field(spec, "holder"),
                    store::string_field(spec, "address"),
-                   store::whole_field(spec, "progress") };
+                   store::uint_field(spec, "progress") };
   });
 }
 
--- a/cactusford/edge/piggyback.cc
+++ b/cactusford/edge/piggyback.cc
@@ -35,7 +35,7 @@
 rank_from(const nlohmann::json& answered)
 {
   const auto rank =
-    store::try_decode([&] { return store::whole_field(answered, "rank"); });
+    store::try_decode([&] { return store::uint_field(answered, "rank"); });
   return rank ? std::optional{ static_cast<std::uint32_t>(*rank) }
               : std::nullopt;
 }
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -69,7 +69,7 @@
       return member{ store::string_field(e, "instance"),
                      store::string_field(e, "address"),
                      store::amount_field(e, "capacity"),
-                     store::whole_field(e, "started_ms") };
+                     store::uint_field(e, "started_ms") };
     });
     if (m) {
       members.push_back(std::move(*m));
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -38,7 +38,7 @@
     throw store::field_error{ { "backend", "too long" } };
   }
   return { backend,
-           store::whole_field(j, "started_ms"),
+           store::uint_field(j, "started_ms"),
            works_from(store::list_field(j, "ran")),
            store::whole_field_or(j, "at_ms", 0) };
 }
@@ -68,7 +68,7 @@
   return store::try_decode([&] {
     report r;
     r.reporter = store::string_field(spec, "by");
-    r.at_ms = store::whole_field(spec, "at_ms");
+    r.at_ms = store::uint_field(spec, "at_ms");
     r.answered = works_from(store::list_field(spec, "answered"));
     r.trial = store::string_field(spec, "trial");
     if (!r.trial.empty()) {
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -76,7 +76,7 @@
 }
 
 std::uint64_t
-whole_field(const json& j, const char* key)
+uint_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   const bool is_whole =
@@ -137,7 +137,7 @@
 std::uint64_t
 whole_field_or(const json& j, const char* key, std::uint64_t otherwise)
 {
-  return has_field(j, key) ? whole_field(j, key) : otherwise;
+  return has_field(j, key) ? uint_field(j, key) : otherwise;
 }
 
 bool
@@ -158,7 +158,7 @@
   std::vector<std::uint64_t> values;
   for (const auto& value : list_field(j, key)) {
     const json one{ { key, value } };
-    values.push_back(whole_field(one, key));
+    values.push_back(uint_field(one, key));
   }
   return values;
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -57,7 +57,7 @@
 
 // Requires a non-negative integer; 3.0, true and "3" are errors.
 std::uint64_t
-whole_field(const nlohmann::json& j, const char* key);
+uint_field(const nlohmann::json& j, const char* key);
 
 bool
 flag_field(const nlohmann::json& j, const char* key);
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -50,7 +50,7 @@
     }
     counts c;
     for (const auto& [workspace, requests] : j.items()) {
-      c[workspace] = store::whole_field(j, workspace.c_str());
+      c[workspace] = store::uint_field(j, workspace.c_str());
     }
     return c;
   });
@@ -74,7 +74,7 @@
   return store::try_decode([&] {
     told_counts t;
     t.instance = store::string_field(j, "instance");
-    t.started_ms = store::whole_field(j, "started_ms");
+    t.started_ms = store::uint_field(j, "started_ms");
     const auto& open = store::list_field(j, "open");
     if (open.size() > most_windows) {
       throw store::field_error{ { "open", "too many windows" } };
@@ -84,7 +84,7 @@
       if (!c) {
         throw store::field_error{ c.fault };
       }
-      t.open[store::whole_field(w, "window")] = std::move(*c);
+      t.open[store::uint_field(w, "window")] = std::move(*c);
     }
     return t;
   });
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -26,7 +26,7 @@
 {
   store::object o;
   o.name = store::string_field(j, "name");
-  o.revision = store::whole_field(j, "revision");
+  o.revision = store::uint_field(j, "revision");
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
   if (store::holds_unreadable(o.spec)) {
@@ -208,7 +208,7 @@
 {
   return store::try_decode([&] {
     routes::table t;
-    t.version = store::whole_field(o.spec, "version");
+    t.version = store::uint_field(o.spec, "version");
     for (const auto& r : store::list_field(o.spec, "routes")) {
       t.routes.push_back(route_from(r));
     }
@@ -228,7 +228,7 @@
     a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
     a.service = store::string_field(o.spec, "service");
     a.address = store::string_field(o.spec, "address");
-    a.slots = static_cast<std::uint32_t>(store::whole_field(o.spec, "slots"));
+    a.slots = static_cast<std::uint32_t>(store::uint_field(o.spec, "slots"));
     a.versions["m"] = store::whole_field_or(o.spec, "version", 0);
     return a;
   });
--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -29,8 +29,8 @@
   return store::try_decode([&] {
     const auto j = store::parse_message(a.body);
     edge::engine_report r;
-    r.started_ms = store::whole_field(j, "started_ms");
-    r.orders = store::whole_field(j, "orders");
+    r.started_ms = store::uint_field(j, "started_ms");
+    r.orders = store::uint_field(j, "orders");
     r.busy = store::flag_field(j, "busy");
     for (const auto& [model, v] : store::field(j, "versions").items()) {
       r.versions[model] = v.get<std::uint64_t>();
