--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -40,7 +40,7 @@
   return { backend,
            store::uint_field(j, "started_ms"),
            works_from(store::list_field(j, "ran")),
-           store::whole_field_or(j, "at_ms", 0) };
+           store::uint_field_or(j, "at_ms", 0) };
 }
 
 } // namespace
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -135,7 +135,7 @@
 }
 
 std::uint64_t
-whole_field_or(const json& j, const char* key, std::uint64_t otherwise)
+uint_field_or(const json& j, const char* key, std::uint64_t otherwise)
 {
   return has_field(j, key) ? uint_field(j, key) : otherwise;
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -81,9 +81,9 @@
                 std::string_view otherwise);
 
 std::uint64_t
-whole_field_or(const nlohmann::json& j,
-               const char* key,
-               std::uint64_t otherwise);
+uint_field_or(const nlohmann::json& j,
+              const char* key,
+              std::uint64_t otherwise);
 
 bool
 flag_field_or(const nlohmann::json& j, const char* key, bool otherwise);
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -225,11 +225,11 @@
   return store::try_decode([&] {
     backends::announcement a;
     a.id = o.name;
-    a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
+    a.started_ms = store::uint_field_or(o.spec, "started_ms", 0);
     a.service = store::string_field(o.spec, "service");
     a.address = store::string_field(o.spec, "address");
     a.slots = static_cast<std::uint32_t>(store::uint_field(o.spec, "slots"));
-    a.versions["m"] = store::whole_field_or(o.spec, "version", 0);
+    a.versions["m"] = store::uint_field_or(o.spec, "version", 0);
     return a;
   });
 }
