--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -155,7 +155,7 @@
       r.id = store::string_field(j, "item");
       r.done = store::flag_field(j, "done");
       r.text = store::string_field(j, "text");
-      r.versions = store::wholes_field(j, "weights");
+      r.versions = store::uint_array_field(j, "weights");
       r.score = store::string_field(j, "score");
       c.results.push_back(std::move(r));
     }
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -38,7 +38,7 @@
       t.last_event = store::uint_field(j, "last_event");
       t.events = store::uint_field(j, "count");
       t.text = store::string_field(j, "text");
-      t.versions = store::wholes_field(j, "weights");
+      t.versions = store::uint_array_field(j, "weights");
       t.version = store::uint_field(j, "weight");
       return std::pair{ store::string_field(j, "item"), std::move(t) };
     });
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -153,7 +153,7 @@
 }
 
 std::vector<std::uint64_t>
-wholes_field(const json& j, const char* key)
+uint_array_field(const json& j, const char* key)
 {
   std::vector<std::uint64_t> values;
   for (const auto& value : list_field(j, key)) {
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -93,7 +93,7 @@
 
 // Returns an array of non-negative integers.
 std::vector<std::uint64_t>
-wholes_field(const nlohmann::json& j, const char* key);
+uint_array_field(const nlohmann::json& j, const char* key);
 
 // Runs a decoder that uses the functions above and turns their exceptions into
 // an error value.
