--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -153,7 +153,7 @@
     for (const auto& j : store::list_field(spec, "list")) {
       item_result r;
       r.id = store::string_field(j, "item");
-      r.done = store::flag_field(j, "done");
+      r.done = store::bool_field(j, "done");
       r.text = store::string_field(j, "text");
       r.versions = store::uint_array_field(j, "weights");
       r.score = store::string_field(j, "score");
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -89,7 +89,7 @@
 }
 
 bool
-flag_field(const json& j, const char* key)
+bool_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_boolean()) {
@@ -143,7 +143,7 @@
 bool
 flag_field_or(const json& j, const char* key, bool otherwise)
 {
-  return has_field(j, key) ? flag_field(j, key) : otherwise;
+  return has_field(j, key) ? bool_field(j, key) : otherwise;
 }
 
 double
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -60,7 +60,7 @@
 uint_field(const nlohmann::json& j, const char* key);
 
 bool
-flag_field(const nlohmann::json& j, const char* key);
+bool_field(const nlohmann::json& j, const char* key);
 
 // Requires a non-negative number; fractions are allowed.
 double
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -62,7 +62,7 @@
     c.inner.request.body = string_field(j, "body");
     c.inner.timeout_ms = uint_field(j, "timeout_ms");
     c.inner.held_ms = uint_field_or(j, "held_ms", 0);
-    c.shared = flag_field(j, "shared");
+    c.shared = bool_field(j, "shared");
     c.hops = uint_field(j, "hops");
     c.message = j.value("sent_along", nlohmann::json{});
     return c;
--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -31,7 +31,7 @@
     edge::engine_report r;
     r.started_ms = store::uint_field(j, "started_ms");
     r.orders = store::uint_field(j, "orders");
-    r.busy = store::flag_field(j, "busy");
+    r.busy = store::bool_field(j, "busy");
     for (const auto& [model, v] : store::field(j, "versions").items()) {
       r.versions[model] = v.get<std::uint64_t>();
     }
