--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -141,7 +141,7 @@
 }
 
 bool
-flag_field_or(const json& j, const char* key, bool otherwise)
+bool_field_or(const json& j, const char* key, bool otherwise)
 {
   return has_field(j, key) ? bool_field(j, key) : otherwise;
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -86,7 +86,7 @@
               std::uint64_t otherwise);
 
 bool
-flag_field_or(const nlohmann::json& j, const char* key, bool otherwise);
+bool_field_or(const nlohmann::json& j, const char* key, bool otherwise);
 
 double
 amount_field_or(const nlohmann::json& j, const char* key, double otherwise);
