--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -204,7 +204,7 @@
     b.parts = store::uint_field(spec, "parts");
     b.owner = store::string_field(spec, "first_owner");
     b.owner_address = store::string_field(spec, "first_address");
-    b.owner_capacity = store::amount_field(spec, "first_capacity");
+    b.owner_capacity = store::number_field(spec, "first_capacity");
     b.owner = store::string_field_or(status, "owner", b.owner);
     b.owner_address =
       store::string_field_or(status, "owner_address", b.owner_address);
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -68,7 +68,7 @@
     auto m = store::try_decode([&] {
       return member{ store::string_field(e, "instance"),
                      store::string_field(e, "address"),
-                     store::amount_field(e, "capacity"),
+                     store::number_field(e, "capacity"),
                      store::uint_field(e, "started_ms") };
     });
     if (m) {
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -99,7 +99,7 @@
 }
 
 double
-amount_field(const json& j, const char* key)
+number_field(const json& j, const char* key)
 {
   // 2^53: larger integers cannot all be represented exactly as double.
   constexpr double largest = 9007199254740992.0;
@@ -149,7 +149,7 @@
 double
 amount_field_or(const json& j, const char* key, double otherwise)
 {
-  return has_field(j, key) ? amount_field(j, key) : otherwise;
+  return has_field(j, key) ? number_field(j, key) : otherwise;
 }
 
 std::vector<std::uint64_t>
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -64,7 +64,7 @@
 
 // Requires a non-negative number; fractions are allowed.
 double
-amount_field(const nlohmann::json& j, const char* key);
+number_field(const nlohmann::json& j, const char* key);
 
 const nlohmann::json&
 list_field(const nlohmann::json& j, const char* key);
