--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -209,7 +209,7 @@
     b.owner_address =
       store::string_field_or(status, "owner_address", b.owner_address);
     b.owner_capacity =
-      store::amount_field_or(status, "owner_capacity", b.owner_capacity);
+      store::number_field_or(status, "owner_capacity", b.owner_capacity);
     b.ended = store::bool_field_or(status, "ended", false);
     return b;
   });
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -147,7 +147,7 @@
 }
 
 double
-amount_field_or(const json& j, const char* key, double otherwise)
+number_field_or(const json& j, const char* key, double otherwise)
 {
   return has_field(j, key) ? number_field(j, key) : otherwise;
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -89,7 +89,7 @@
 bool_field_or(const nlohmann::json& j, const char* key, bool otherwise);
 
 double
-amount_field_or(const nlohmann::json& j, const char* key, double otherwise);
+number_field_or(const nlohmann::json& j, const char* key, double otherwise);
 
 // Returns an array of non-negative integers.
 std::vector<std::uint64_t>
