--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -150,7 +150,7 @@
   return store::try_decode([&] {
     stored_chunk c;
     c.epoch = store::uint_field(spec, "epoch");
-    for (const auto& j : store::list_field(spec, "list")) {
+    for (const auto& j : store::array_field(spec, "list")) {
       item_result r;
       r.id = store::string_field(j, "item");
       r.done = store::bool_field(j, "done");
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -28,7 +28,7 @@
 {
   progress p;
   const auto list =
-    store::try_decode([&] { return store::list_field(spec, "list"); });
+    store::try_decode([&] { return store::array_field(spec, "list"); });
   if (!list) {
     return p;
   }
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -39,7 +39,7 @@
   }
   return { backend,
            store::uint_field(j, "started_ms"),
-           works_from(store::list_field(j, "ran")),
+           works_from(store::array_field(j, "ran")),
            store::uint_field_or(j, "at_ms", 0) };
 }
 
@@ -69,12 +69,12 @@
     report r;
     r.reporter = store::string_field(spec, "by");
     r.at_ms = store::uint_field(spec, "at_ms");
-    r.answered = works_from(store::list_field(spec, "answered"));
+    r.answered = works_from(store::array_field(spec, "answered"));
     r.trial = store::string_field(spec, "trial");
     if (!r.trial.empty()) {
       check_fingerprint(r.trial);
     }
-    const auto& ended = store::list_field(spec, "ended");
+    const auto& ended = store::array_field(spec, "ended");
     if (ended.size() > most_lives) {
       throw store::field_error{ { "ended", "too many" } };
     }
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -112,7 +112,7 @@
 }
 
 const json&
-list_field(const json& j, const char* key)
+array_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_array()) {
@@ -156,7 +156,7 @@
 uint_array_field(const json& j, const char* key)
 {
   std::vector<std::uint64_t> values;
-  for (const auto& value : list_field(j, key)) {
+  for (const auto& value : array_field(j, key)) {
     const json one{ { key, value } };
     values.push_back(uint_field(one, key));
   }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -67,7 +67,7 @@
 number_field(const nlohmann::json& j, const char* key);
 
 const nlohmann::json&
-list_field(const nlohmann::json& j, const char* key);
+array_field(const nlohmann::json& j, const char* key);
 
 // Returns true if the field is present; null counts as absent.
 bool
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -75,7 +75,7 @@
     told_counts t;
     t.instance = store::string_field(j, "instance");
     t.started_ms = store::uint_field(j, "started_ms");
-    const auto& open = store::list_field(j, "open");
+    const auto& open = store::array_field(j, "open");
     if (open.size() > most_windows) {
       throw store::field_error{ { "open", "too many windows" } };
     }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -209,7 +209,7 @@
   return store::try_decode([&] {
     routes::table t;
     t.version = store::uint_field(o.spec, "version");
-    for (const auto& r : store::list_field(o.spec, "routes")) {
+    for (const auto& r : store::array_field(o.spec, "routes")) {
       t.routes.push_back(route_from(r));
     }
     if (o.spec.contains("workspaces")) {
