--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -186,7 +186,7 @@
 }
 
 bool
-holds_unreadable(const json& j)
+contains_unreadable(const json& j)
 {
   const auto is_marked = [](const std::string& text) {
     return text.find(unreadable_mark) != std::string::npos;
@@ -196,11 +196,11 @@
   }
   if (j.is_object()) {
     return std::any_of(j.items().begin(), j.items().end(), [&](const auto& e) {
-      return is_marked(e.key()) || holds_unreadable(e.value());
+      return is_marked(e.key()) || contains_unreadable(e.value());
     });
   }
   return j.is_array() && std::any_of(j.begin(), j.end(), [](const json& v) {
-           return holds_unreadable(v);
+           return contains_unreadable(v);
          });
 }
 
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -141,6 +141,6 @@
 
 // Returns true if any string in the value contains `unreadable_mark`.
 bool
-holds_unreadable(const nlohmann::json& j);
+contains_unreadable(const nlohmann::json& j);
 
 } // namespace cactusford::store
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -29,7 +29,7 @@
   o.revision = store::uint_field(j, "revision");
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
-  if (store::holds_unreadable(o.spec)) {
+  if (store::contains_unreadable(o.spec)) {
     throw store::field_error{ { "spec", "bytes that are no UTF-8" } };
   }
   return o;
