--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -171,7 +171,7 @@
 }
 
 marked_message
-parse_marked(std::string_view text)
+parse_leniently(std::string_view text)
 {
   auto j = parse_message(text);
   if (!j.is_discarded()) {
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -133,7 +133,7 @@
 // `unreadable_mark`, so that the rest of the message can be used (see
 // `store/salvage.h`).
 marked_message
-parse_marked(std::string_view text);
+parse_leniently(std::string_view text);
 
 // Replaces bytes that could not be read. It is the code point U+FDD0, a Unicode
 // noncharacter, which does not occur in valid text.
--- a/cactusford/store/salvage-test.cc
+++ b/cactusford/store/salvage-test.cc
@@ -17,7 +17,7 @@
 {
   const auto text =
     R"({"list":[{"n":"first"},)" + broken + R"(,{"n":"last"}],"count":9})";
-  const auto [j, has_marks] = store::parse_marked(text);
+  const auto [j, has_marks] = store::parse_leniently(text);
   std::vector<std::string> names;
   if (!j.is_object() || j.value("count", 0) != 9) {
     return names;
@@ -90,7 +90,8 @@
   cr_assert_eq(store::cut_unreadable_elements(empty), empty);
   SECTION("the end of a message that is cut off is no element")
   {
-    const auto [j, has_marks] = store::parse_marked(R"({"list":[{"n":"a"},{")");
+    const auto [j, has_marks] =
+      store::parse_leniently(R"({"list":[{"n":"a"},{")");
     cr_assert(j.is_discarded());
   }
 }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -107,7 +107,7 @@
 decode_reply(const store::call&, const http::response& a)
 {
   store::reply r;
-  const auto j = store::parse_marked(a.body).value;
+  const auto j = store::parse_leniently(a.body).value;
   if (a.status == 503) {
     r.what = store::verdict::refused;
     return r;
