--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -201,11 +201,11 @@
   c.kind = batch_kind;
   c.name = id;
   p.store.perform(c, [self = shared_from_this(), id, done](store::reply&& r) {
-    if (r.what == store::verdict::done && !r.items.empty()) {
+    if (r.what == store::call_result::done && !r.items.empty()) {
       done(self->learn(r.items.front()), true);
       return;
     }
-    done(self->known(id), r.what == store::verdict::missing);
+    done(self->known(id), r.what == store::call_result::missing);
   });
 }
 
@@ -396,8 +396,8 @@
     self->write_status(
       id,
       [](stored_batch& s) { s.ended = true; },
-      [self, caller, id](store::verdict v) {
-        const bool done = v == store::verdict::done;
+      [self, caller, id](store::call_result v) {
+        const bool done = v == store::call_result::done;
         if (done) {
           self->tell(
             self->known(id)->stored.owner_address, peer_ended_path, id);
@@ -518,7 +518,7 @@
           s.owner_address = successor.address;
           s.owner_capacity = successor.capacity;
         },
-        [one_done](store::verdict) { one_done(); },
+        [one_done](store::call_result) { one_done(); },
         2);
     };
     impl_->save_progress(*impl_->known(id), release);
--- a/cactusford/batches/keeper_impl.h
+++ b/cactusford/batches/keeper_impl.h
@@ -115,7 +115,7 @@
   void take_over(batch_state& b, std::string_view why);
   void write_status(const std::string& id,
                     std::function<void(stored_batch&)> change,
-                    std::function<void(store::verdict)> done,
+                    std::function<void(store::call_result)> done,
                     int tries);
 
   void tell(const std::string& address,
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -157,14 +157,14 @@
                       done(false);
                       return;
                     }
-                    if (r.what == store::verdict::done) {
+                    if (r.what == store::call_result::done) {
                       if (now->ledger.chunks == chunk) {
                         self->on_chunk(id, empty);
                       }
                       done(true);
                       return;
                     }
-                    if (r.what == store::verdict::refused) {
+                    if (r.what == store::call_result::refused) {
                       done(false);
                       return;
                     }
@@ -203,9 +203,9 @@
   }
   p.store.perform(
     c, [self = shared_from_this(), id, first, done](store::reply&& r) {
-      const bool absent = r.what == store::verdict::missing;
+      const bool absent = r.what == store::call_result::missing;
       auto* now = self->known(id);
-      if (now == nullptr || (r.what != store::verdict::done && !absent)) {
+      if (now == nullptr || (r.what != store::call_result::done && !absent)) {
         done(false);
         return;
       }
@@ -252,18 +252,18 @@
 void
 keeper::impl::write_status(const std::string& id,
                            std::function<void(stored_batch&)> change,
-                           std::function<void(store::verdict)> done,
+                           std::function<void(store::call_result)> done,
                            int tries)
 {
   auto* b = known(id);
   if (b == nullptr) {
-    done(store::verdict::missing);
+    done(store::call_result::missing);
     return;
   }
   auto wanted = b->stored;
   change(wanted);
   if (encode_status(wanted) == encode_status(b->stored)) {
-    done(store::verdict::done);
+    done(store::call_result::done);
     return;
   }
   store::call c;
@@ -277,8 +277,9 @@
       for (const auto& o : r.items) {
         self->learn(o);
       }
-      const bool again = r.what == store::verdict::conflict ||
-                         (r.what == store::verdict::unknown && r.items.empty());
+      const bool again =
+        r.what == store::call_result::conflict ||
+        (r.what == store::call_result::unknown && r.items.empty());
       if (!again || tries <= 1) {
         done(r.what);
         return;
@@ -297,7 +298,7 @@
           for (const auto& o : back.items) {
             self->learn(o);
           }
-          if (back.what == store::verdict::done) {
+          if (back.what == store::call_result::done) {
             self->write_status(id, change, done, tries - 1);
           } else {
             done(back.what);
@@ -416,7 +417,7 @@
     }
     now->verifying = false;
     // Nothing is known yet: the next look asks again.
-    if (r.what == store::verdict::done && !r.items.empty()) {
+    if (r.what == store::call_result::done && !r.items.empty()) {
       now->doubted = false;
       self->learn(r.items.front());
     }
@@ -467,7 +468,7 @@
         s.owner_capacity = self->p.capacity;
       }
     },
-    [self = shared_from_this(), id, address](store::verdict) {
+    [self = shared_from_this(), id, address](store::call_result) {
       auto* now = self->known(id);
       if (now == nullptr) {
         return;
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -170,10 +170,10 @@
   c.name = settings_.name;
   store_.perform(c, [this, alive = alive_](store::reply&& r) {
     const auto now = http::boot_ms();
-    if (r.what == store::verdict::done && !r.items.empty()) {
+    if (r.what == store::call_result::done && !r.items.empty()) {
       keeper_.busy = false;
       take(r.items.front());
-    } else if (r.what == store::verdict::missing) {
+    } else if (r.what == store::call_result::missing) {
       ownership::on_read(keeper_, {}, now);
     } else {
       ownership::on_unavailable(keeper_, now);
@@ -210,7 +210,7 @@
   const bool was_held = keeper_.held;
   const auto now = http::boot_ms();
   switch (r.what) {
-    case store::verdict::done: {
+    case store::call_result::done: {
       const auto revision =
         r.items.empty() ? std::uint64_t{ 0 } : r.items.front().revision;
       if (revision == 0) {
@@ -221,17 +221,17 @@
       take(r.items.front());
       break;
     }
-    case store::verdict::conflict:
-    case store::verdict::missing:
-    case store::verdict::history_gone:
+    case store::call_result::conflict:
+    case store::call_result::missing:
+    case store::call_result::history_gone:
       ownership::on_conflict(keeper_);
       break;
-    case store::verdict::refused:
-    case store::verdict::unknown:
+    case store::call_result::refused:
+    case store::call_result::unknown:
       ownership::on_unavailable(keeper_, now);
       break;
   }
-  if (a != ownership::action::renew || r.what != store::verdict::done) {
+  if (a != ownership::action::renew || r.what != store::call_result::done) {
     process::log_line(timeline::event{ "duty_written" }
                         .with("duty", settings_.name)
                         .with("action", name_of(a))
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -109,13 +109,13 @@
   store::reply r;
   const auto j = store::parse_leniently(a.body).value;
   if (a.status == 503) {
-    r.what = store::verdict::refused;
+    r.what = store::call_result::refused;
     return r;
   }
   if (!j.is_object()) {
     return r;
   }
-  r.what = static_cast<store::verdict>(j.at("what").get<int>());
+  r.what = static_cast<store::call_result>(j.at("what").get<int>());
   r.more = j.at("more").get<bool>();
   r.as_of = j.at("as_of").get<std::uint64_t>();
   for (const auto& o : j.at("items")) {
@@ -370,7 +370,7 @@
   for (auto& w : waiting) {
     const auto r = perform(w.call);
     const bool over = http::now_ms() >= w.until_ms;
-    if (!r.changes.empty() || r.what != store::verdict::done || over) {
+    if (!r.changes.empty() || r.what != store::call_result::done || over) {
       w.caller.respond({ 200, {}, encode_reply(r, texts_for_objects) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
@@ -426,8 +426,8 @@
 store::reply
 object_store::perform(const store::call& c)
 {
+  using store::call_result;
   using store::operation;
-  using store::verdict;
   store::reply r;
   r.what = verdict::done;
   r.as_of = revision_;
--- a/tests/watcher-test.cc
+++ b/tests/watcher-test.cc
@@ -90,7 +90,7 @@
     cr_assert_lt(which, asked.size());
     const auto call = asked[which];
     asked.erase(asked.begin() + static_cast<std::ptrdiff_t>(which));
-    const json body{ { "what", static_cast<int>(store::verdict::done) },
+    const json body{ { "what", static_cast<int>(store::call_result::done) },
                      { "more", false },
                      { "as_of", as_of },
                      { "items", items },
