--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -58,17 +58,17 @@
 name_of(verdict v) noexcept
 {
   switch (v) {
-    case verdict::done:
+    case call_result::done:
       return "done";
-    case verdict::conflict:
+    case call_result::conflict:
       return "conflict";
-    case verdict::missing:
+    case call_result::missing:
       return "missing";
-    case verdict::history_gone:
+    case call_result::history_gone:
       return "history_gone";
-    case verdict::refused:
+    case call_result::refused:
       return "refused";
-    case verdict::unknown:
+    case call_result::unknown:
       return "unknown";
   }
   return "unknown";
@@ -310,13 +310,13 @@
   --a->under_way;
   hear(r);
   reply answer;
-  answer.what =
-    end == http::end_state::not_sent ? verdict::refused : verdict::unknown;
+  answer.what = end == http::end_state::not_sent ? call_result::refused
+                                                 : call_result::unknown;
   if (complete) {
     answer = dialect_.decode(a->call, r);
   }
   const bool is_answer =
-    answer.what != verdict::refused && answer.what != verdict::unknown;
+    answer.what != call_result::refused && answer.what != call_result::unknown;
   if (is_answer) {
     note_path(paths_, path, path_end::answered, now);
     note_answer();
@@ -330,7 +330,7 @@
   const bool away = path != direct_path && complete && says_away(r);
   // The store ends waiting watches now and then; the next call shows whether it
   // is reachable. A relay that stopped answering is marked as failed.
-  if (a->call.op == operation::watch && answer.what == verdict::unknown) {
+  if (a->call.op == operation::watch && answer.what == call_result::unknown) {
     if (path != direct_path && !away) {
       note_path(paths_, path, path_end::failed, now);
     }
@@ -346,7 +346,7 @@
   if (path == direct_path) {
     note_failure(http::name_of(end));
   }
-  a->unknown = a->unknown || answer.what == verdict::unknown;
+  a->unknown = a->unknown || answer.what == call_result::unknown;
   try_next(a);
 }
 
@@ -397,7 +397,7 @@
 client::give_up(const std::shared_ptr<attempt>& a)
 {
   reply answer;
-  answer.what = a->unknown ? verdict::unknown : verdict::refused;
+  answer.what = a->unknown ? call_result::unknown : call_result::refused;
   note_failure("no_path");
   settle(a, std::move(answer));
 }
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -118,7 +118,7 @@
 
 struct reply
 {
-  verdict what = verdict::unknown;
+  verdict what = call_result::unknown;
   std::vector<object> items;
   std::vector<change> changes;
   std::vector<unreadable> broken;
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -429,7 +429,7 @@
   using store::call_result;
   using store::operation;
   store::reply r;
-  r.what = verdict::done;
+  r.what = call_result::done;
   r.as_of = revision_;
   auto& kind = objects_[c.kind];
   const auto found = kind.find(c.name);
@@ -446,7 +446,7 @@
       return r;
     case operation::watch:
       if (c.since < history_from_) {
-        r.what = verdict::history_gone;
+        r.what = call_result::history_gone;
         return r;
       }
       for (const auto& change : history_[c.kind]) {
@@ -456,14 +456,14 @@
       }
       return r;
     case operation::get:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.what = exists ? call_result::done : call_result::missing;
       if (exists) {
         r.items.push_back(found->second);
       }
       return r;
     case operation::create: {
       if (exists) {
-        r.what = verdict::conflict;
+        r.what = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -479,11 +479,11 @@
     case operation::replace:
     case operation::replace_status:
       if (!exists) {
-        r.what = verdict::missing;
+        r.what = call_result::missing;
         return r;
       }
       if (c.revision != 0 && c.revision != found->second.revision) {
-        r.what = verdict::conflict;
+        r.what = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -494,7 +494,7 @@
       note_change(c.kind, found->second, false);
       return r;
     case operation::remove:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.what = exists ? call_result::done : call_result::missing;
       if (exists) {
         auto gone = found->second;
         gone.revision = ++revision_;
