--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -55,7 +55,7 @@
 }
 
 std::string_view
-name_of(verdict v) noexcept
+name_of(call_result v) noexcept
 {
   switch (v) {
     case call_result::done:
@@ -363,7 +363,7 @@
 client::log_failure(const attempt& a,
                     path_try sent,
                     http::end_state end,
-                    verdict v)
+                    call_result v)
 {
   ++failed_tries_;
   process::log_line(timeline::event{ "store_try_failed" }
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -95,7 +95,7 @@
   friend bool operator==(const call&, const call&) = default;
 };
 
-enum class verdict
+enum class call_result
 {
   done,
   // The object already exists, or has another revision. `items` contains it if
@@ -111,14 +111,14 @@
 };
 
 std::string_view
-name_of(verdict v) noexcept;
+name_of(call_result v) noexcept;
 
 std::string_view
 name_of(operation op) noexcept;
 
 struct reply
 {
-  verdict what = call_result::unknown;
+  call_result what = call_result::unknown;
   std::vector<object> items;
   std::vector<change> changes;
   std::vector<unreadable> broken;
@@ -250,7 +250,7 @@
   void log_failure(const attempt& a,
                    path_try sent,
                    http::end_state end,
-                   verdict v);
+                   call_result v);
   void give_up(const std::shared_ptr<attempt>& a);
   void hear(const http::response& r) const;
   nlohmann::json next_message() const;
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -183,7 +183,7 @@
 }
 
 void
-watcher::note_failed(operation op, verdict v)
+watcher::note_failed(operation op, call_result v)
 {
   ++failures_;
   process::log_line(
--- a/cactusford/store/watcher.h
+++ b/cactusford/store/watcher.h
@@ -83,7 +83,7 @@
   void on_reply(reply&& r, std::uint64_t round);
   void tell_unreadable(const std::vector<unreadable>& broken);
   void note_confirmed(std::uint64_t at_ms);
-  void note_failed(operation op, verdict v);
+  void note_failed(operation op, call_result v);
 
   http::timer timer_;
   client& store_;
