--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -201,11 +201,11 @@
   c.kind = batch_kind;
   c.name = id;
   p.store.perform(c, [self = shared_from_this(), id, done](store::reply&& r) {
-    if (r.what == store::call_result::done && !r.items.empty()) {
+    if (r.result == store::call_result::done && !r.items.empty()) {
       done(self->learn(r.items.front()), true);
       return;
     }
-    done(self->known(id), r.what == store::call_result::missing);
+    done(self->known(id), r.result == store::call_result::missing);
   });
 }
 
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -157,14 +157,14 @@
                       done(false);
                       return;
                     }
-                    if (r.what == store::call_result::done) {
+                    if (r.result == store::call_result::done) {
                       if (now->ledger.chunks == chunk) {
                         self->on_chunk(id, empty);
                       }
                       done(true);
                       return;
                     }
-                    if (r.what == store::call_result::refused) {
+                    if (r.result == store::call_result::refused) {
                       done(false);
                       return;
                     }
@@ -203,9 +203,9 @@
   }
   p.store.perform(
     c, [self = shared_from_this(), id, first, done](store::reply&& r) {
-      const bool absent = r.what == store::call_result::missing;
+      const bool absent = r.result == store::call_result::missing;
       auto* now = self->known(id);
-      if (now == nullptr || (r.what != store::call_result::done && !absent)) {
+      if (now == nullptr || (r.result != store::call_result::done && !absent)) {
         done(false);
         return;
       }
@@ -278,8 +278,8 @@
         self->learn(o);
       }
       const bool again =
-        r.what == store::call_result::conflict ||
-        (r.what == store::call_result::unknown && r.items.empty());
+        r.result == store::call_result::conflict ||
+        (r.result == store::call_result::unknown && r.items.empty());
       if (!again || tries <= 1) {
         done(r.what);
         return;
@@ -298,7 +298,7 @@
           for (const auto& o : back.items) {
             self->learn(o);
           }
-          if (back.what == store::call_result::done) {
+          if (back.result == store::call_result::done) {
             self->write_status(id, change, done, tries - 1);
           } else {
             done(back.what);
@@ -417,7 +417,7 @@
     }
     now->verifying = false;
     // Nothing is known yet: the next look asks again.
-    if (r.what == store::call_result::done && !r.items.empty()) {
+    if (r.result == store::call_result::done && !r.items.empty()) {
       now->doubted = false;
       self->learn(r.items.front());
     }
--- a/cactusford/batches/progress_store.cc
+++ b/cactusford/batches/progress_store.cc
@@ -67,9 +67,9 @@
         now_known->saving = false;
         // Another owner may have written it before: then it is replaced.
         now_known->has_saved =
-          (now_known->has_saved && r.what != store::call_result::missing) ||
-          r.what == store::call_result::done ||
-          r.what == store::call_result::conflict;
+          (now_known->has_saved && r.result != store::call_result::missing) ||
+          r.result == store::call_result::done ||
+          r.result == store::call_result::conflict;
       }
       done();
     });
@@ -92,7 +92,7 @@
   c.name = id;
   p.store.perform(c, [self = shared_from_this(), id, done](store::reply&& r) {
     auto* b = self->known(id);
-    if (b != nullptr && r.what == store::call_result::done &&
+    if (b != nullptr && r.result == store::call_result::done &&
         !r.items.empty()) {
       b->has_saved = true;
       const auto saved = decode_progress(r.items.front().spec);
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -70,7 +70,7 @@
       if (now == nullptr || now->ledger.chunks != chunk) {
         return;
       }
-      if (r.what == store::call_result::done) {
+      if (r.result == store::call_result::done) {
         self->on_chunk(id, written);
         self->maybe_write(*now, http::now_ms());
         return;
@@ -81,8 +81,8 @@
         now->complete = false;
         return;
       }
-      if (r.what == store::call_result::conflict ||
-          r.what == store::call_result::unknown) {
+      if (r.result == store::call_result::conflict ||
+          r.result == store::call_result::unknown) {
         self->read_back(id, chunk);
         return;
       }
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -53,9 +53,9 @@
   c.kind = chunk_kind;
   c.name = chunk_name(id, chunk);
   p.store.perform(c, [self = shared_from_this(), id, chunk](store::reply&& r) {
-    if (r.what == store::call_result::done) {
+    if (r.result == store::call_result::done) {
       self->remove_chunk(id, chunk + 1);
-    } else if (r.what == store::call_result::missing) {
+    } else if (r.result == store::call_result::missing) {
       self->remove_rest(id);
     } else if (auto* b = self->known(id)) {
       b->removing = false;
@@ -94,8 +94,8 @@
     process::log_line(timeline::event{ "batch_removed" }
                         .with("batch", id)
                         .with("verdict", store::name_of(r.what)));
-    const bool gone = r.what == store::call_result::done ||
-                      r.what == store::call_result::missing;
+    const bool gone = r.result == store::call_result::done ||
+                      r.result == store::call_result::missing;
     if (gone) {
       self->forget(id);
     } else if (auto* b = self->known(id)) {
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -183,8 +183,8 @@
   c.name = part_name(a->id, a->next_part);
   c.body = encode_part(a->parts[a->next_part]);
   p.store.perform(c, [self = shared_from_this(), a](store::reply&& r) {
-    const bool stands = r.what == store::call_result::done ||
-                        r.what == store::call_result::conflict;
+    const bool stands = r.result == store::call_result::done ||
+                        r.result == store::call_result::conflict;
     if (!stands) {
       self->accept_again(a, &impl::write_parts);
       return;
@@ -249,10 +249,10 @@
 keeper::impl::on_head(const std::shared_ptr<acceptance>& a,
                       const store::reply& r)
 {
-  const bool accepted = r.what == store::call_result::done ||
-                        r.what == store::call_result::conflict;
+  const bool accepted = r.result == store::call_result::done ||
+                        r.result == store::call_result::conflict;
   if (!accepted) {
-    a->unknown = a->unknown || r.what == store::call_result::unknown;
+    a->unknown = a->unknown || r.result == store::call_result::unknown;
     accept_again(a, &impl::write_head);
     return;
   }
@@ -260,7 +260,7 @@
     learn(o);
   }
   accepting.erase(a->id);
-  const bool created = r.what == store::call_result::done;
+  const bool created = r.result == store::call_result::done;
   if (auto* b = known(a->id)) {
     own_ours(*b, created && !r.after_unknown && !a->unknown);
   }
@@ -345,8 +345,8 @@
   c.name = part_name(id, part);
   p.store.perform(
     c, [self = shared_from_this(), id, part, parts, done](store::reply&& r) {
-      const bool gone = r.what == store::call_result::done ||
-                        r.what == store::call_result::missing;
+      const bool gone = r.result == store::call_result::done ||
+                        r.result == store::call_result::missing;
       if (gone) {
         self->remove_parts(id, part + 1, parts, done);
       } else {
@@ -386,7 +386,7 @@
       }
       const auto text =
         r.items.empty() ? std::nullopt : decode_part(r.items.front().spec);
-      if (r.what != store::call_result::done || !text) {
+      if (r.result != store::call_result::done || !text) {
         self->end_read(id, false);
         return;
       }
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -170,10 +170,10 @@
   c.name = settings_.name;
   store_.perform(c, [this, alive = alive_](store::reply&& r) {
     const auto now = http::boot_ms();
-    if (r.what == store::call_result::done && !r.items.empty()) {
+    if (r.result == store::call_result::done && !r.items.empty()) {
       keeper_.busy = false;
       take(r.items.front());
-    } else if (r.what == store::call_result::missing) {
+    } else if (r.result == store::call_result::missing) {
       ownership::on_read(keeper_, {}, now);
     } else {
       ownership::on_unavailable(keeper_, now);
@@ -231,7 +231,7 @@
       ownership::on_unavailable(keeper_, now);
       break;
   }
-  if (a != ownership::action::renew || r.what != store::call_result::done) {
+  if (a != ownership::action::renew || r.result != store::call_result::done) {
     process::log_line(timeline::event{ "duty_written" }
                         .with("duty", settings_.name)
                         .with("action", name_of(a))
--- a/cactusford/quarantine/guard.cc
+++ b/cactusford/quarantine/guard.cc
@@ -136,7 +136,7 @@
   c.name = name_of_trial(f, now / settings_.limits.trial_ms);
   c.body = encode(trial);
   store_.perform(c, [this, f, name = c.name, trial, done](store::reply&& r) {
-    const bool mine = r.what == store::call_result::done;
+    const bool mine = r.result == store::call_result::done;
     process::log_line(timeline::event{ "trial_claimed" }
                         .with("work", f)
                         .with("verdict", store::name_of(r.what))
@@ -361,12 +361,12 @@
       std::find(waiting_.begin(), waiting_.end(), u) != waiting_.end();
     // After a try without an answer a conflict is with our own write. Otherwise
     // the name is that of an earlier process, whose clock was ahead.
-    u->may_stand =
-      u->may_stand || r.after_unknown || r.what == store::call_result::unknown;
+    u->may_stand = u->may_stand || r.after_unknown ||
+                   r.result == store::call_result::unknown;
     const bool written =
-      r.what == store::call_result::done ||
-      (r.what == store::call_result::conflict && u->may_stand);
-    if (r.what == store::call_result::conflict && !written) {
+      r.result == store::call_result::done ||
+      (r.result == store::call_result::conflict && u->may_stand);
+    if (r.result == store::call_result::conflict && !written) {
       rename(*u);
     }
     process::log_line(timeline::event{ "report_written" }
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -315,8 +315,8 @@
   if (complete) {
     answer = dialect_.decode(a->call, r);
   }
-  const bool is_answer =
-    answer.what != call_result::refused && answer.what != call_result::unknown;
+  const bool is_answer = answer.result != call_result::refused &&
+                         answer.result != call_result::unknown;
   if (is_answer) {
     note_path(paths_, path, path_end::answered, now);
     note_answer();
@@ -330,7 +330,7 @@
   const bool away = path != direct_path && complete && says_away(r);
   // The store ends waiting watches now and then; the next call shows whether it
   // is reachable. A relay that stopped answering is marked as failed.
-  if (a->call.op == operation::watch && answer.what == call_result::unknown) {
+  if (a->call.op == operation::watch && answer.result == call_result::unknown) {
     if (path != direct_path && !away) {
       note_path(paths_, path, path_end::failed, now);
     }
@@ -346,7 +346,7 @@
   if (path == direct_path) {
     note_failure(http::name_of(end));
   }
-  a->unknown = a->unknown || answer.what == call_result::unknown;
+  a->unknown = a->unknown || answer.result == call_result::unknown;
   try_next(a);
 }
 
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -115,11 +115,11 @@
   c.after = sofar.after;
   c.shared = settings_.shared;
   ask(c, [this, sofar, round = round_](reply&& r) mutable {
-    const bool is_useful = r.what == call_result::done && !r.more;
+    const bool is_useful = r.result == call_result::done && !r.more;
     if (!running_ || (round != round_ && !is_useful)) {
       return;
     }
-    if (r.what != call_result::done) {
+    if (r.result != call_result::done) {
       note_failed(operation::list, r.what);
       wait_and_watch(pause_left());
       return;
@@ -242,7 +242,7 @@
   has_gathered_ = false;
   c.shared = settings_.shared;
   ask(c, [this, round = round_](reply&& r) {
-    const bool is_useful = r.what == call_result::done;
+    const bool is_useful = r.result == call_result::done;
     if (running_ && (round == round_ || is_useful)) {
       on_reply(std::move(r), round);
     }
@@ -252,12 +252,13 @@
 void
 watcher::on_reply(reply&& r, std::uint64_t round)
 {
-  if (r.what == call_result::history_gone || r.what == call_result::missing) {
+  if (r.result == call_result::history_gone ||
+      r.result == call_result::missing) {
     needs_list_ = true;
     watch();
     return;
   }
-  if (r.what != call_result::done) {
+  if (r.result != call_result::done) {
     // A watch whose connection was lost may have missed changes whose history
     // is dropped a moment later. The next watch would be held as if nothing had
     // changed; a list returns the current state.
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -239,7 +239,7 @@
   c.kind = window_kind;
   store_.perform(c, [this, fence = duty_.fence()](store::reply&& r) {
     busy_ = false;
-    if (r.what != store::call_result::done) {
+    if (r.result != store::call_result::done) {
       retry_later();
       return;
     }
@@ -294,18 +294,18 @@
                       .with("window", w.number)
                       .with("workspaces", w.value.size())
                       .with("verdict", store::name_of(r.what)));
-  if (r.what == store::call_result::done) {
+  if (r.result == store::call_result::done) {
     fixed_[w.number] = std::move(w.value);
     return;
   }
-  if (r.what == store::call_result::conflict && !r.items.empty()) {
+  if (r.result == store::call_result::conflict && !r.items.empty()) {
     if (auto value = counts_from(r.items.front().spec)) {
       fixed_[w.number] = std::move(*value);
       return;
     }
   }
-  fence_known_ =
-    r.what == store::call_result::conflict ? std::uint64_t{ 0 } : fence_known_;
+  fence_known_ = r.result == store::call_result::conflict ? std::uint64_t{ 0 }
+                                                          : fence_known_;
   retry_later();
 }
 
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -109,7 +109,7 @@
   store::reply r;
   const auto j = store::parse_leniently(a.body).value;
   if (a.status == 503) {
-    r.what = store::call_result::refused;
+    r.result = store::call_result::refused;
     return r;
   }
   if (!j.is_object()) {
@@ -370,7 +370,7 @@
   for (auto& w : waiting) {
     const auto r = perform(w.call);
     const bool over = http::now_ms() >= w.until_ms;
-    if (!r.changes.empty() || r.what != store::call_result::done || over) {
+    if (!r.changes.empty() || r.result != store::call_result::done || over) {
       w.caller.respond({ 200, {}, encode_reply(r, texts_for_objects) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
@@ -429,7 +429,7 @@
   using store::call_result;
   using store::operation;
   store::reply r;
-  r.what = call_result::done;
+  r.result = call_result::done;
   r.as_of = revision_;
   auto& kind = objects_[c.kind];
   const auto found = kind.find(c.name);
@@ -446,7 +446,7 @@
       return r;
     case operation::watch:
       if (c.since < history_from_) {
-        r.what = call_result::history_gone;
+        r.result = call_result::history_gone;
         return r;
       }
       for (const auto& change : history_[c.kind]) {
@@ -463,7 +463,7 @@
       return r;
     case operation::create: {
       if (exists) {
-        r.what = call_result::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -479,11 +479,11 @@
     case operation::replace:
     case operation::replace_status:
       if (!exists) {
-        r.what = call_result::missing;
+        r.result = call_result::missing;
         return r;
       }
       if (c.revision != 0 && c.revision != found->second.revision) {
-        r.what = call_result::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
