--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -93,7 +93,7 @@
   p.store.perform(batch, [self = shared_from_this(), id](store::reply&& r) {
     process::log_line(timeline::event{ "batch_removed" }
                         .with("batch", id)
-                        .with("verdict", store::name_of(r.what)));
+                        .with("verdict", store::name_of(r.result)));
     const bool gone = r.result == store::call_result::done ||
                       r.result == store::call_result::missing;
     if (gone) {
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -267,7 +267,7 @@
   process::log_line(timeline::event{ "batch_accepted" }
                       .with("batch", a->id)
                       .with("workspace", a->head.workspace)
-                      .with("verdict", store::name_of(r.what)));
+                      .with("verdict", store::name_of(r.result)));
   const auto* b = known(a->id);
   a->caller.respond(b == nullptr ? answer(202)
                                  : answer_again(b->stored, a->head.workspace));
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -235,11 +235,11 @@
     process::log_line(timeline::event{ "duty_written" }
                         .with("duty", settings_.name)
                         .with("action", name_of(a))
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("fence", keeper_.seen.fence)
                         .with("revision", keeper_.seen.version));
   }
-  note_held(was_held, store::name_of(r.what));
+  note_held(was_held, store::name_of(r.result));
 }
 
 void
--- a/cactusford/edge/side.cc
+++ b/cactusford/edge/side.cc
@@ -90,7 +90,7 @@
     store.perform(c, [name = o.name](store::reply&& r) {
       process::log_line(timeline::event{ "emptied" }
                           .with("instance", name)
-                          .with("verdict", store::name_of(r.what)));
+                          .with("verdict", store::name_of(r.result)));
     });
   };
   // Nothing here is urgent: the longest wait that the store allows.
--- a/cactusford/quarantine/guard.cc
+++ b/cactusford/quarantine/guard.cc
@@ -139,7 +139,7 @@
     const bool mine = r.result == store::call_result::done;
     process::log_line(timeline::event{ "trial_claimed" }
                         .with("work", f)
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("mine", mine ? 1U : 0U));
     if (mine) {
       take(evidence_, name, trial);
@@ -371,7 +371,7 @@
     }
     process::log_line(timeline::event{ "report_written" }
                         .with("report", u->name)
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("ended", u->value.ended.size())
                         .with("answered", u->value.answered.size()));
     if (written) {
@@ -462,7 +462,7 @@
   store_.perform(c, [name](store::reply&& r) {
     process::log_line(timeline::event{ "report_removed" }
                         .with("report", name)
-                        .with("verdict", store::name_of(r.what)));
+                        .with("verdict", store::name_of(r.result)));
   });
 }
 
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -293,7 +293,7 @@
   process::log_line(timeline::event{ "usage_window_fixed" }
                       .with("window", w.number)
                       .with("workspaces", w.value.size())
-                      .with("verdict", store::name_of(r.what)));
+                      .with("verdict", store::name_of(r.result)));
   if (r.result == store::call_result::done) {
     fixed_[w.number] = std::move(w.value);
     return;
@@ -388,7 +388,7 @@
     store_.perform(c, [name = c.name](store::reply&& r) {
       process::log_line(timeline::event{ "usage_window_removed" }
                           .with("window", name)
-                          .with("verdict", store::name_of(r.what)));
+                          .with("verdict", store::name_of(r.result)));
     });
   }
 }
