--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -281,7 +281,7 @@
         r.result == store::call_result::conflict ||
         (r.result == store::call_result::unknown && r.items.empty());
       if (!again || tries <= 1) {
-        done(r.what);
+        done(r.result);
         return;
       }
       if (!r.items.empty()) {
@@ -301,7 +301,7 @@
           if (back.result == store::call_result::done) {
             self->write_status(id, change, done, tries - 1);
           } else {
-            done(back.what);
+            done(back.result);
           }
         });
     });
