--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -209,7 +209,7 @@
 {
   const bool was_held = keeper_.held;
   const auto now = http::boot_ms();
-  switch (r.what) {
+  switch (r.result) {
     case store::call_result::done: {
       const auto revision =
         r.items.empty() ? std::uint64_t{ 0 } : r.items.front().revision;
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -83,7 +83,7 @@
   const auto shown = [&](const store::object& o) {
     return as_text.contains(o.name) ? json(o.name) : to_json(o);
   };
-  json j{ { "what", static_cast<int>(r.what) },
+  json j{ { "what", static_cast<int>(r.result) },
           { "more", r.more },
           { "as_of", r.as_of },
           { "items", json::array() },
@@ -115,7 +115,7 @@
   if (!j.is_object()) {
     return r;
   }
-  r.what = static_cast<store::call_result>(j.at("what").get<int>());
+  r.result = static_cast<store::call_result>(j.at("what").get<int>());
   r.more = j.at("more").get<bool>();
   r.as_of = j.at("as_of").get<std::uint64_t>();
   for (const auto& o : j.at("items")) {
@@ -456,7 +456,7 @@
       }
       return r;
     case operation::get:
-      r.what = exists ? call_result::done : call_result::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
         r.items.push_back(found->second);
       }
@@ -494,7 +494,7 @@
       note_change(c.kind, found->second, false);
       return r;
     case operation::remove:
-      r.what = exists ? call_result::done : call_result::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
         auto gone = found->second;
         gone.revision = ++revision_;
