--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -11,17 +11,17 @@
 using nlohmann::json;
 
 [[noreturn]] void
-fail(const char* key, const char* wanted, const json& got)
+fail(const char* key, const char* expected, const json& got)
 {
   throw field_error{
-    { key, std::string{ wanted } + " wanted, got " + got.type_name() }
+    { key, std::string{ expected } + " expected, got " + got.type_name() }
   };
 }
 
 // A single pass over the bytes. A parser callback at each level would double
 // the cost of parsing.
 bool
-is_nested_too_deeply(std::string_view text)
+exceeds_max_nesting(std::string_view text)
 {
   std::size_t depth = 0;
   bool in_text = false;
@@ -38,7 +38,7 @@
     } else if ((c == '}' || c == ']') && depth > 0) {
       --depth;
     }
-    if (depth > deepest_nesting) {
+    if (depth > max_nesting_depth) {
       return true;
     }
   }
@@ -56,7 +56,7 @@
 field(const json& j, const char* key)
 {
   if (!j.is_object()) {
-    fail(key, "an object around it", j);
+    fail(key, "an enclosing object", j);
   }
   const auto found = j.find(key);
   if (found == j.end()) {
@@ -70,7 +70,7 @@
 {
   const auto& value = field(j, key);
   if (!value.is_string()) {
-    fail(key, "text", value);
+    fail(key, "a string", value);
   }
   return value.get_ref<const std::string&>();
 }
@@ -83,7 +83,7 @@
     value.is_number_unsigned() ||
     (value.is_number_integer() && value.get<std::int64_t>() >= 0);
   if (!is_whole) {
-    fail(key, "a whole number", value);
+    fail(key, "a non-negative integer", value);
   }
   return value.get<std::uint64_t>();
 }
@@ -102,11 +102,11 @@
 number_field(const json& j, const char* key)
 {
   // 2^53: larger integers cannot all be represented exactly as double.
-  constexpr double largest = 9007199254740992.0;
+  constexpr double max_exact_integer = 9007199254740992.0;
   const auto& value = field(j, key);
   const auto amount = value.is_number() ? value.get<double>() : -1;
-  if (!(amount >= 0 && amount <= largest)) {
-    fail(key, "an amount", value);
+  if (!(amount >= 0 && amount <= max_exact_integer)) {
+    fail(key, "a non-negative number", value);
   }
   return amount;
 }
@@ -116,7 +116,7 @@
 {
   const auto& value = field(j, key);
   if (!value.is_array()) {
-    fail(key, "a list", value);
+    fail(key, "an array", value);
   }
   return value;
 }
@@ -157,8 +157,8 @@
 {
   std::vector<std::uint64_t> values;
   for (const auto& value : array_field(j, key)) {
-    const json one{ { key, value } };
-    values.push_back(uint_field(one, key));
+    const json wrapped{ { key, value } };
+    values.push_back(uint_field(wrapped, key));
   }
   return values;
 }
@@ -166,11 +166,11 @@
 json
 parse_message(std::string_view text)
 {
-  return is_nested_too_deeply(text) ? json(json::value_t::discarded)
-                                    : json::parse(text, nullptr, false);
+  return exceeds_max_nesting(text) ? json(json::value_t::discarded)
+                                   : json::parse(text, nullptr, false);
 }
 
-marked_message
+repaired_message
 parse_leniently(std::string_view text)
 {
   auto j = parse_message(text);
@@ -180,7 +180,7 @@
   const auto marked = mark_unreadable(text);
   j = parse_message(marked);
   if (j.is_discarded()) {
-    j = parse_message(cut_unreadable_elements(marked));
+    j = parse_message(replace_unreadable_elements(marked));
   }
   return { std::move(j), true };
 }
--- a/cactusford/store/fields.h
+++ b/cactusford/store/fields.h
@@ -115,24 +115,24 @@
 // Limit for arrays and objects nested inside each other. Valid messages have a
 // handful of levels. Recursive code, such as the serializer, needs stack for
 // each level, and a megabyte of opening brackets would crash the process.
-constexpr std::size_t deepest_nesting = 64;
+constexpr std::size_t max_nesting_depth = 64;
 
 // Returns a discarded value if the text is not valid JSON, or is nested too
 // deeply.
 nlohmann::json
 parse_message(std::string_view text);
 
-struct marked_message
+struct repaired_message
 {
   // Discarded if the text could not be repaired.
   nlohmann::json value;
-  bool has_marks = false;
+  bool was_repaired = false;
 };
 
 // Parses a message that may contain invalid parts. These are replaced by
 // `unreadable_mark`, so that the rest of the message can be used (see
 // `store/salvage.h`).
-marked_message
+repaired_message
 parse_leniently(std::string_view text);
 
 // Replaces bytes that could not be read. It is the code point U+FDD0, a Unicode
--- a/cactusford/store/paths-test.cc
+++ b/cactusford/store/paths-test.cc
@@ -11,12 +11,13 @@
 Test(paths, goes_round_a_direct_path_that_is_closed)
 {
   auto t = make_paths(2);
-  cr_assert_eq(*take_path(t, {}, 0), direct_path);
-  note_path(t, direct_path, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, { direct_path }, 0), 1);
-  note_path(t, 1, path_end::answered, 5);
-  cr_assert_eq(*take_path(t, {}, 10), 1, "the next call starts there");
-  cr_assert_eq(*take_path(t, {}, 2100), direct_path, "and direct again later");
+  cr_assert_eq(*select_path(t, {}, 0), direct_path);
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, { direct_path }, 0), 1);
+  record_outcome(t, 1, path_outcome::answered, 5);
+  cr_assert_eq(*select_path(t, {}, 10), 1, "the next call starts there");
+  cr_assert_eq(
+    *select_path(t, {}, 2100), direct_path, "and direct again later");
 }
 
 // The first relay of the list has been removed for good. Guards against each
@@ -24,15 +25,15 @@
 Test(paths, passes_over_a_relay_that_is_gone)
 {
   auto t = make_paths(2);
-  note_path(t, direct_path, path_end::failed, 0);
-  note_path(t, 1, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, {}, 10), 2);
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  record_outcome(t, 1, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, {}, 10), 2);
   SECTION("with no relay left the direct path is asked often")
   {
-    note_path(t, 2, path_end::failed, 0);
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_not(take_path(t, {}, 10), "but not at once");
-    cr_assert_eq(*take_path(t, {}, 300), direct_path);
+    record_outcome(t, 2, path_outcome::failed, 0);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_not(select_path(t, {}, 10), "but not at once");
+    cr_assert_eq(*select_path(t, {}, 300), direct_path);
   }
 }
 
@@ -41,9 +42,9 @@
 Test(paths, begins_with_a_relay_where_that_is_wished)
 {
   auto t = make_paths(2, 2);
-  cr_assert_eq(*take_path(t, {}, 0), 2);
-  cr_assert_eq(*take_path(t, { 2 }, 0), direct_path);
-  cr_assert_eq(*take_path(t, { 2, direct_path }, 0), 1);
+  cr_assert_eq(*select_path(t, {}, 0), 2);
+  cr_assert_eq(*select_path(t, { 2 }, 0), direct_path);
+  cr_assert_eq(*select_path(t, { 2, direct_path }, 0), 1);
 }
 
 // The store is down for everybody for five seconds, its time of highest load:
@@ -58,11 +59,15 @@
     int direct = 0;
     for (std::uint64_t now = 0; now < outage_ms; now += 10) {
       std::vector<std::size_t> tried;
-      while (const auto path = take_path(t, tried, now)) {
+      while (const auto path = select_path(t, tried, now)) {
         tried.push_back(*path);
         direct += *path == direct_path ? 1 : 0;
         const bool own = *path == direct_path;
-        note_path(t, *path, own ? path_end::failed : path_end::store_away, now);
+        record_outcome(t,
+                       *path,
+                       own ? path_outcome::failed
+                           : path_outcome::store_unreachable,
+                       now);
       }
     }
     return direct;
@@ -72,13 +77,13 @@
   SECTION("and finds it again when a relay does")
   {
     auto t = make_paths(2);
-    note_path(t, direct_path, path_end::failed, 0);
-    note_path(t, 1, path_end::store_away, 0);
-    note_path(t, 2, path_end::store_away, 0);
-    cr_assert_not(take_path(t, {}, 299));
-    cr_assert_eq(*take_path(t, {}, 300), 1);
-    note_path(t, 1, path_end::answered, 310);
-    cr_assert_eq(*take_path(t, {}, 311), 1);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    record_outcome(t, 1, path_outcome::store_unreachable, 0);
+    record_outcome(t, 2, path_outcome::store_unreachable, 0);
+    cr_assert_not(select_path(t, {}, 299));
+    cr_assert_eq(*select_path(t, {}, 300), 1);
+    record_outcome(t, 1, path_outcome::answered, 310);
+    cr_assert_eq(*select_path(t, {}, 311), 1);
   }
 }
 
@@ -88,12 +93,12 @@
 Test(paths, sends_one_call_at_a_time_to_a_path_that_failed)
 {
   auto t = make_paths(0);
-  note_path(t, direct_path, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, {}, 300), direct_path);
-  cr_assert_not(take_path(t, {}, 301));
-  note_path(t, direct_path, path_end::answered, 350);
-  cr_assert_eq(*take_path(t, {}, 351), direct_path);
-  cr_assert_eq(*take_path(t, {}, 351), direct_path);
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, {}, 300), direct_path);
+  cr_assert_not(select_path(t, {}, 301));
+  record_outcome(t, direct_path, path_outcome::answered, 350);
+  cr_assert_eq(*select_path(t, {}, 351), direct_path);
+  cr_assert_eq(*select_path(t, {}, 351), direct_path);
 }
 
 // A partition cuts eight of twenty entries off the store, among them two of the
@@ -104,22 +109,22 @@
 Test(paths, goes_round_relays_that_are_cut_off_too)
 {
   auto t = make_paths(3);
-  note_path(t, direct_path, path_end::failed, 0);
-  note_path(t, 1, path_end::store_away, 1);
-  cr_assert_eq(*take_path(t, { direct_path, 1 }, 2), 2);
-  note_path(t, 2, path_end::store_away, 2);
-  cr_assert_not(take_path(t, { direct_path, 1, 2 }, 3), "three tries a call");
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  record_outcome(t, 1, path_outcome::store_unreachable, 1);
+  cr_assert_eq(*select_path(t, { direct_path, 1 }, 2), 2);
+  record_outcome(t, 2, path_outcome::store_unreachable, 2);
+  cr_assert_not(select_path(t, { direct_path, 1, 2 }, 3), "three tries a call");
   SECTION("the next call goes on where this one ended")
   {
-    cr_assert_eq(*take_path(t, {}, 3), 3);
-    note_path(t, 3, path_end::answered, 4);
-    cr_assert_eq(*take_path(t, {}, 5), 3);
+    cr_assert_eq(*select_path(t, {}, 3), 3);
+    record_outcome(t, 3, path_outcome::answered, 4);
+    cr_assert_eq(*select_path(t, {}, 5), 3);
   }
   SECTION("and to relays that were learned meanwhile")
   {
-    note_path(t, 3, path_end::failed, 4);
+    record_outcome(t, 3, path_outcome::failed, 4);
     add_path(t);
-    cr_assert_eq(*take_path(t, {}, 5), 4);
+    cr_assert_eq(*select_path(t, {}, 5), 4);
   }
 }
 
@@ -135,25 +140,30 @@
   constexpr std::size_t relay = 1;
   constexpr std::uint64_t wait_ms = 1000;
   auto t = make_paths(2);
-  cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.list_ms);
+  cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+               l.list_ms);
   SECTION("a list on a path that failed is a short question")
   {
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.answer_ms);
-    note_path(t, direct_path, path_end::answered, 5);
-    cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.list_ms);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+                 l.answer_ms);
+    record_outcome(t, direct_path, path_outcome::answered, 5);
+    cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+                 l.list_ms);
   }
   SECTION("a relay has spoken before its watch is given up")
   {
-    const auto at_relay = limit_ms(l, t, relay, asked::watch, wait_ms);
+    const auto at_relay =
+      response_timeout_ms(l, t, relay, response_kind::watch, wait_ms);
     cr_assert_eq(at_relay + relay_extra_ms, wait_ms + l.shared_answer_ms);
   }
   SECTION("a watch is given up below the time in which a change is in force")
   {
     constexpr std::uint64_t in_force_ms = 2000;
     cr_assert_lt(wait_ms + l.shared_answer_ms, in_force_ms);
-    cr_assert_lt(limit_ms(l, t, direct_path, asked::watch, wait_ms),
-                 in_force_ms);
+    cr_assert_lt(
+      response_timeout_ms(l, t, direct_path, response_kind::watch, wait_ms),
+      in_force_ms);
   }
 }
 
@@ -163,18 +173,18 @@
 {
   constexpr std::uint64_t avoided_ms = 4000;
   auto t = make_paths(2, 1);
-  note_path(t, 1, path_end::store_away, 0);
-  cr_assert_eq(*take_path(t, {}, 1), 2);
-  cr_assert_eq(*take_path(t, {}, avoided_ms - 1), 2);
+  record_outcome(t, 1, path_outcome::store_unreachable, 0);
+  cr_assert_eq(*select_path(t, {}, 1), 2);
+  cr_assert_eq(*select_path(t, {}, avoided_ms - 1), 2);
   SECTION("it is asked again after some seconds")
   {
-    cr_assert_eq(*take_path(t, {}, avoided_ms), 1);
+    cr_assert_eq(*select_path(t, {}, avoided_ms), 1);
   }
   SECTION("or when nothing else is left")
   {
-    note_path(t, 2, path_end::failed, 0);
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(*take_path(t, {}, 300), 1);
+    record_outcome(t, 2, path_outcome::failed, 0);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(*select_path(t, {}, 300), 1);
   }
 }
 
@@ -183,14 +193,14 @@
 Test(paths, close_one_that_failed_to_all_but_one_call)
 {
   auto t = make_paths(2, 1);
-  cr_assert(take_if_open(t, 1, 0));
-  cr_assert(take_if_open(t, 1, 0), "one that answers takes all");
-  note_path(t, 1, path_end::failed, 0);
-  cr_assert_not(take_if_open(t, 1, 3999));
-  cr_assert(take_if_open(t, 1, 4000));
-  cr_assert_not(take_if_open(t, 1, 4001), "until that call has ended");
-  note_path(t, 1, path_end::answered, 4100);
-  cr_assert(take_if_open(t, 1, 4100));
+  cr_assert(claim_if_open(t, 1, 0));
+  cr_assert(claim_if_open(t, 1, 0), "one that answers takes all");
+  record_outcome(t, 1, path_outcome::failed, 0);
+  cr_assert_not(claim_if_open(t, 1, 3999));
+  cr_assert(claim_if_open(t, 1, 4000));
+  cr_assert_not(claim_if_open(t, 1, 4001), "until that call has ended");
+  record_outcome(t, 1, path_outcome::answered, 4100);
+  cr_assert(claim_if_open(t, 1, 4100));
 }
 
 // Guards against a second try that is delayed by the same cause as the first:
@@ -198,10 +208,10 @@
 Test(paths, try_the_direct_one_second)
 {
   auto t = make_paths(3, 2);
-  cr_assert_eq(*take_second_path(t, { 2 }, 0), direct_path);
+  cr_assert_eq(*select_second_path(t, { 2 }, 0), direct_path);
   SECTION("another relay if it is closed")
   {
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(*take_second_path(t, { 2 }, 10), 1);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(*select_second_path(t, { 2 }, 10), 1);
   }
 }
--- a/cactusford/store/paths.cc
+++ b/cactusford/store/paths.cc
@@ -21,28 +21,29 @@
 // A relay that cannot reach the store is asked again as often as it probes the
 // store itself, if no other path answers; its answer costs no call to the
 // store.
-constexpr std::uint64_t avoid_away_ms = probe_ms;
+constexpr std::uint64_t avoid_unreachable_ms = probe_ms;
 
 std::uint64_t
-interval_of(const path_table& t, std::size_t path, path_end end)
+probe_interval_ms(const path_table& t, std::size_t path, path_outcome end)
 {
   if (path != direct_path) {
-    return end == path_end::store_away ? avoid_away_ms : avoid_relay_ms;
+    return end == path_outcome::store_unreachable ? avoid_unreachable_ms
+                                                  : avoid_relay_ms;
   }
-  const bool a_relay_lives =
+  const bool is_any_relay_up =
     std::any_of(t.paths.begin() + 1, t.paths.end(), [](const auto& p) {
-      return p.last != path_end::failed;
+      return p.last != path_outcome::failed;
     });
-  return t.is_relay || !a_relay_lives ? probe_ms : avoid_direct_ms;
+  return t.is_relay || !is_any_relay_up ? probe_ms : avoid_direct_ms;
 }
 
 // One call at a time probes whether a failed path is open again.
 void
-close_while_asked(path_table& t, std::size_t path, std::uint64_t now_ms)
+close_while_probing(path_table& t, std::size_t path, std::uint64_t now_ms)
 {
   auto& p = t.paths[path];
-  if (p.last != path_end::answered) {
-    p.closed_until_ms = now_ms + interval_of(t, path, p.last);
+  if (p.last != path_outcome::answered) {
+    p.closed_until_ms = now_ms + probe_interval_ms(t, path, p.last);
   }
 }
 
@@ -65,25 +66,25 @@
 }
 
 std::optional<std::size_t>
-take_path(path_table& t,
-          const std::vector<std::size_t>& tried,
-          std::uint64_t now_ms,
-          std::size_t first)
+select_path(path_table& t,
+            const std::vector<std::size_t>& tried,
+            std::uint64_t now_ms,
+            std::size_t first)
 {
   if (tried.size() >= max_tries) {
     return std::nullopt;
   }
-  for (const bool may_be_avoided : { false, true }) {
+  for (const bool allow_avoided : { false, true }) {
     for (std::size_t i = 0; i < t.paths.size(); ++i) {
       const auto path = (first + i) % t.paths.size();
       auto& p = t.paths[path];
       const bool was_tried =
         std::find(tried.begin(), tried.end(), path) != tried.end();
-      const bool is_left = !may_be_avoided && p.avoided_until_ms > now_ms;
-      if (was_tried || is_left || p.closed_until_ms > now_ms) {
+      const bool is_avoided = !allow_avoided && p.avoided_until_ms > now_ms;
+      if (was_tried || is_avoided || p.closed_until_ms > now_ms) {
         continue;
       }
-      close_while_asked(t, path, now_ms);
+      close_while_probing(t, path, now_ms);
       return path;
     }
   }
@@ -91,68 +92,71 @@
 }
 
 std::optional<std::size_t>
-take_path(path_table& t,
-          const std::vector<std::size_t>& tried,
-          std::uint64_t now_ms)
+select_path(path_table& t,
+            const std::vector<std::size_t>& tried,
+            std::uint64_t now_ms)
 {
-  return take_path(t, tried, now_ms, t.first);
+  return select_path(t, tried, now_ms, t.first);
 }
 
 bool
-take_if_open(path_table& t, std::size_t path, std::uint64_t now_ms)
+claim_if_open(path_table& t, std::size_t path, std::uint64_t now_ms)
 {
   const auto& p = t.paths[path];
   if (p.closed_until_ms > now_ms || p.avoided_until_ms > now_ms) {
     return false;
   }
-  close_while_asked(t, path, now_ms);
+  close_while_probing(t, path, now_ms);
   return true;
 }
 
 std::optional<std::size_t>
-take_second_path(path_table& t,
-                 const std::vector<std::size_t>& tried,
-                 std::uint64_t now_ms)
+select_second_path(path_table& t,
+                   const std::vector<std::size_t>& tried,
+                   std::uint64_t now_ms)
 {
-  return take_path(t, tried, now_ms, direct_path);
+  return select_path(t, tried, now_ms, direct_path);
 }
 
 void
-note_path(path_table& t, std::size_t path, path_end end, std::uint64_t now_ms)
+record_outcome(path_table& t,
+               std::size_t path,
+               path_outcome end,
+               std::uint64_t now_ms)
 {
   auto& p = t.paths[path];
   p.last = end;
-  if (end == path_end::answered) {
+  if (end == path_outcome::answered) {
     p.closed_until_ms = 0;
     p.avoided_until_ms = 0;
     return;
   }
-  p.closed_until_ms = now_ms + interval_of(t, path, end);
+  p.closed_until_ms = now_ms + probe_interval_ms(t, path, end);
   p.avoided_until_ms = path == direct_path ? 0 : now_ms + avoid_relay_ms;
 }
 
 std::uint64_t
-limit_ms(const answer_limits& l,
-         const path_table& t,
-         std::size_t path,
-         asked what,
-         std::uint64_t wait_ms)
+response_timeout_ms(const answer_limits& l,
+                    const path_table& t,
+                    std::size_t path,
+                    response_kind kind,
+                    std::uint64_t wait_ms)
 {
-  if (what == asked::watch) {
+  if (kind == response_kind::watch) {
     return wait_ms + (path == direct_path
                         ? l.answer_ms
                         : l.shared_answer_ms - relay_extra_ms);
   }
   // A call on a path that failed probes whether it is open again.
-  const bool is_probe = t.paths[path].last != path_end::answered;
-  return what == asked::list && !is_probe ? l.list_ms : l.answer_ms;
+  const bool is_probe = t.paths[path].last != path_outcome::answered;
+  return kind == response_kind::list && !is_probe ? l.list_ms : l.answer_ms;
 }
 
 bool
 is_direct_closed(const path_table& t, std::uint64_t now_ms)
 {
   const auto& p = t.paths[direct_path];
-  return p.last != path_end::answered && p.closed_until_ms > now_ms;
+  return p.last != path_outcome::answered && p.closed_until_ms > now_ms;
 }
 
 } // namespace cactusford::store
--- a/cactusford/store/paths.h
+++ b/cactusford/store/paths.h
@@ -27,19 +27,19 @@
 // Maximum number of paths tried for one call.
 constexpr std::size_t max_tries = 3;
 
-enum class path_end
+enum class path_outcome
 {
   // The store answered.
   answered,
   // The path itself failed.
   failed,
   // The relay answered that it cannot reach the store.
-  store_away,
+  store_unreachable,
 };
 
 struct path_state
 {
-  path_end last = path_end::answered;
+  path_outcome last = path_outcome::answered;
   // No call uses the path before this time.
   std::uint64_t closed_until_ms = 0;
   // No call uses the path before this time unless all other paths fail.
@@ -73,34 +73,37 @@
 // Selecting a path that failed last closes it to other calls until this call
 // ends or the probe interval is over.
 std::optional<std::size_t>
-take_path(path_table& t,
-          const std::vector<std::size_t>& tried,
-          std::uint64_t now_ms,
-          std::size_t first);
+select_path(path_table& t,
+            const std::vector<std::size_t>& tried,
+            std::uint64_t now_ms,
+            std::size_t first);
 
 // The same for a call that starts at the table's `first` path.
 std::optional<std::size_t>
-take_path(path_table& t,
-          const std::vector<std::size_t>& tried,
-          std::uint64_t now_ms);
+select_path(path_table& t,
+            const std::vector<std::size_t>& tried,
+            std::uint64_t now_ms);
 
 // Selects an additional path for a read that still waits for an answer on the
 // paths in `tried`. The direct path is preferred, as whatever delays one relay
 // may delay the others too.
 std::optional<std::size_t>
-take_second_path(path_table& t,
-                 const std::vector<std::size_t>& tried,
-                 std::uint64_t now_ms);
+select_second_path(path_table& t,
+                   const std::vector<std::size_t>& tried,
+                   std::uint64_t now_ms);
 
 // Claims the given path; returns false if it is closed or avoided.
 bool
-take_if_open(path_table& t, std::size_t path, std::uint64_t now_ms);
+claim_if_open(path_table& t, std::size_t path, std::uint64_t now_ms);
 
 void
-note_path(path_table& t, std::size_t path, path_end end, std::uint64_t now_ms);
+record_outcome(path_table& t,
+               std::size_t path,
+               path_outcome end,
+               std::uint64_t now_ms);
 
 // What a call requests, as far as it affects how long the answer may take.
-enum class asked
+enum class response_kind
 {
   one_object,
   list,
@@ -142,11 +145,11 @@
 // after path, and callers were refused by a configuration that had been
 // replaced. With these timeouts it takes 0.3 to 1.8 s (six runs each).
 std::uint64_t
-limit_ms(const answer_limits& l,
-         const path_table& t,
-         std::size_t path,
-         asked what,
-         std::uint64_t wait_ms);
+response_timeout_ms(const answer_limits& l,
+                    const path_table& t,
+                    std::size_t path,
+                    response_kind kind,
+                    std::uint64_t wait_ms);
 
 // Returns true if the direct path failed and its next probe is not due yet.
 bool
--- a/cactusford/store/relay_wire-test.cc
+++ b/cactusford/store/relay_wire-test.cc
@@ -14,8 +14,8 @@
 http::response
 answer_of_relay(std::uint64_t asked_ms, std::uint64_t confirmed_ms)
 {
-  const relay_notes notes{ asked_ms, confirmed_ms, {} };
-  return relayed_answer(complete, { 200, {}, "b" }, notes);
+  const relay_metadata notes{ asked_ms, confirmed_ms, {} };
+  return relayed_response(complete, { 200, {}, "b" }, notes);
 }
 
 } // namespace
@@ -47,42 +47,43 @@
   SECTION("held for a second, on the clock of a relay that is far ahead")
   {
     const auto r = answer_of_relay(900000, 901000);
-    cr_assert_eq(confirmed_by_relay(r, 50, 5000), 1050);
+    cr_assert_eq(relay_confirmed_ms(r, 50, 5000), 1050);
   }
   SECTION("made before the relay was asked")
   {
     const auto r = answer_of_relay(900000, 899800);
-    cr_assert_eq(confirmed_by_relay(r, 500, 510), 300);
+    cr_assert_eq(relay_confirmed_ms(r, 500, 510), 300);
   }
   SECTION("never later than now, nor before the clock began")
   {
-    cr_assert_eq(confirmed_by_relay(answer_of_relay(0, 1000), 50, 60), 60);
-    cr_assert_eq(confirmed_by_relay(answer_of_relay(1000, 0), 50, 60), 0);
+    cr_assert_eq(relay_confirmed_ms(answer_of_relay(0, 1000), 50, 60), 60);
+    cr_assert_eq(relay_confirmed_ms(answer_of_relay(1000, 0), 50, 60), 0);
   }
   SECTION("a number that cannot be counts as none that is newer")
   {
     const http::response r{ 200,
                             { { "Confirmed-After-Ms", "9223372036854775807" } },
                             "" };
-    cr_assert_eq(confirmed_by_relay(r, 50, 60), 60);
+    cr_assert_eq(relay_confirmed_ms(r, 50, 60), 60);
   }
 }
 
 Test(relay_wire, takes_a_watch_without_changes_for_held_to_its_end)
 {
-  cr_assert_eq(confirmed_by_store(100, 1000, false, 5000), 1100);
-  cr_assert_eq(confirmed_by_store(100, 1000, true, 5000), 100);
-  cr_assert_eq(confirmed_by_store(100, 1000, false, 300), 300);
+  cr_assert_eq(store_confirmed_ms(100, 1000, false, 5000), 1100);
+  cr_assert_eq(store_confirmed_ms(100, 1000, true, 5000), 100);
+  cr_assert_eq(store_confirmed_ms(100, 1000, false, 300), 300);
 }
 
 Test(relay_wire, says_when_the_store_is_away)
 {
   using http::end_state;
-  cr_assert(says_away(away_answer()));
-  const auto not_sent = relayed_answer(end_state::not_sent, {}, {});
+  cr_assert(reports_store_unreachable(store_unreachable_response()));
+  const auto not_sent = relayed_response(end_state::not_sent, {}, {});
   cr_assert_eq(not_sent.status, 503, "nothing was done");
-  const auto cut = relayed_answer(end_state::cut, {}, {});
+  const auto cut = relayed_response(end_state::cut, {}, {});
   cr_assert_eq(cut.status, 504, "it may have been done");
-  cr_assert(says_away(cut));
-  cr_assert_not(says_away(relayed_answer(complete, { 200, {}, "" }, {})));
+  cr_assert(reports_store_unreachable(cut));
+  cr_assert_not(
+    reports_store_unreachable(relayed_response(complete, { 200, {}, "" }, {})));
 }
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::string_view away_header = "Store-Away";
+constexpr std::string_view store_unreachable_header = "Store-Away";
 
 constexpr std::string_view message_header = "Piggyback";
 
@@ -17,13 +17,13 @@
 constexpr std::string_view confirmed_header = "Confirmed-After-Ms";
 
 // Far longer than any wait; a larger number is malformed.
-constexpr std::int64_t longest_ms = 3600000;
+constexpr std::int64_t max_offset_ms = 3600000;
 
 constexpr int unavailable = 503;
 constexpr int no_answer = 504;
 
 http::header
-confirmed_after(const relay_notes& notes)
+confirmed_after_header(const relay_metadata& notes)
 {
   const auto after = static_cast<std::int64_t>(notes.confirmed_ms) -
                      static_cast<std::int64_t>(notes.asked_ms);
@@ -70,66 +70,69 @@
 }
 
 http::response
-away_answer()
+store_unreachable_response()
 {
-  return { unavailable, { { std::string{ away_header }, "1" } }, "" };
+  return { unavailable,
+           { { std::string{ store_unreachable_header }, "1" } },
+           "" };
 }
 
 http::response
-relayed_answer(http::end_state end,
-               const http::response& r,
-               const relay_notes& notes)
+relayed_response(http::end_state end,
+                 const http::response& r,
+                 const relay_metadata& notes)
 {
   if (end != http::end_state::complete) {
     // 503: the call was not executed. 504: it may have been executed.
-    auto a = away_answer();
+    auto a = store_unreachable_response();
     a.status = end == http::end_state::not_sent ? unavailable : no_answer;
     return a;
   }
-  http::headers fields{ confirmed_after(notes) };
+  http::headers fields{ confirmed_after_header(notes) };
   if (!notes.message.is_null()) {
     fields.push_back({ std::string{ message_header }, notes.message.dump() });
   }
-  if (const auto away = http::find(r.fields, away_header)) {
-    fields.push_back({ std::string{ away_header }, std::string{ *away } });
+  if (const auto away = http::find(r.fields, store_unreachable_header)) {
+    fields.push_back(
+      { std::string{ store_unreachable_header }, std::string{ *away } });
   }
   return { r.status, std::move(fields), r.body };
 }
 
 bool
-says_away(const http::response& r)
+reports_store_unreachable(const http::response& r)
 {
-  return http::find(r.fields, away_header).has_value();
+  return http::find(r.fields, store_unreachable_header).has_value();
 }
 
 nlohmann::json
-message_of(const http::response& r)
+piggybacked_message(const http::response& r)
 {
   const auto text = http::find(r.fields, message_header);
   return text ? parse_message(*text) : nlohmann::json{};
 }
 
 std::uint64_t
-confirmed_by_relay(const http::response& r,
+relay_confirmed_ms(const http::response& r,
                    std::uint64_t asked_ms,
                    std::uint64_t now_ms)
 {
   const auto text = http::find(r.fields, confirmed_header).value_or("0");
   std::int64_t after = 0;
   std::from_chars(text.data(), text.data() + text.size(), after);
-  after = std::clamp(after, -longest_ms, longest_ms);
+  after = std::clamp(after, -max_offset_ms, max_offset_ms);
   const auto at = static_cast<std::int64_t>(asked_ms) + after;
   const auto now = static_cast<std::int64_t>(now_ms);
   return static_cast<std::uint64_t>(std::clamp<std::int64_t>(at, 0, now));
 }
 
 std::uint64_t
-confirmed_by_store(std::uint64_t asked_ms,
+store_confirmed_ms(std::uint64_t asked_ms,
                    std::uint64_t held_ms,
-                   bool has_news,
+                   bool has_changes,
                    std::uint64_t now_ms)
 {
-  return has_news ? asked_ms : std::min(asked_ms + held_ms, now_ms);
+  return has_changes ? asked_ms : std::min(asked_ms + held_ms, now_ms);
 }
 
 } // namespace cactusford::store
--- a/cactusford/store/relay_wire.h
+++ b/cactusford/store/relay_wire.h
@@ -18,19 +18,19 @@
 
 // A call that may share its response with identical calls. The caller waits
 // `timeout_ms` for the answer; the store may hold the request for `held_ms`.
-struct held_call
+struct joinable_call
 {
   http::request request;
   std::uint64_t timeout_ms = 0;
   std::uint64_t held_ms = 0;
 
-  friend bool operator==(const held_call&, const held_call&) = default;
+  friend bool operator==(const joinable_call&, const joinable_call&) = default;
 };
 
 // A call that one instance asks another to make.
 struct relayed_call
 {
-  held_call inner;
+  joinable_call inner;
   // May be joined with identical calls of other instances.
   bool shared = false;
   // Number of relays passed so far, including the one that reads this.
@@ -48,7 +48,7 @@
 relayed_call_from(std::string_view body);
 
 // What a relay adds to the store's answer.
-struct relay_notes
+struct relay_metadata
 {
   // When the relay received the call, and the time as of which the answer is
   // known to be valid, both on the relay's `boot_ms` clock.
@@ -60,36 +60,36 @@
 
 // Builds the relay's response to a call that ended with `end`.
 http::response
-relayed_answer(http::end_state end,
-               const http::response& r,
-               const relay_notes& notes);
+relayed_response(http::end_state end,
+                 const http::response& r,
+                 const relay_metadata& notes);
 
 // The response of a relay that is running but cannot reach the store.
 http::response
-away_answer();
+store_unreachable_response();
 
 bool
-says_away(const http::response& r);
+reports_store_unreachable(const http::response& r);
 
 // Returns the message piggybacked on a relay's response; null if there is none.
 nlohmann::json
-message_of(const http::response& r);
+piggybacked_message(const http::response& r);
 
 // Returns the time as of which a relay's answer is known to be valid, on the
 // clock of the instance that asked. The relay reports it relative to when it
 // received the call, which was later than when the call was sent: a slow
 // connection makes an answer look older, never newer.
 std::uint64_t
-confirmed_by_relay(const http::response& r,
+relay_confirmed_ms(const http::response& r,
                    std::uint64_t asked_ms,
                    std::uint64_t now_ms);
 
 // The same for an answer of the store itself. A watch that ends without changes
 // has been held for its full wait time.
 std::uint64_t
-confirmed_by_store(std::uint64_t asked_ms,
+store_confirmed_ms(std::uint64_t asked_ms,
                    std::uint64_t held_ms,
-                   bool has_news,
+                   bool has_changes,
                    std::uint64_t now_ms);
 
 } // namespace cactusford::store
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -13,8 +13,8 @@
 client::stop_relaying()
 {
   relaying_ = false;
-  for (auto* shared : { &direct_, &upstream_ }) {
-    for (const auto& done : shared->take_relayed()) {
+  for (auto* shared : { &direct_watches_, &upstream_watches_ }) {
+    for (const auto& done : shared->take_relayed_handlers()) {
       // The call was not executed, and the store is not affected.
       done(http::end_state::complete, { 503, {}, "" }, 0);
     }
@@ -31,7 +31,7 @@
   // The direct path has failed, and this instance probes it when that is due.
   // Calls of other instances would only fail in the same way.
   if (is_direct_closed(paths_, http::now_ms())) {
-    caller.respond(away_answer());
+    caller.respond(store_unreachable_response());
     return;
   }
   const auto asked = relayed_call_from(caller.request().body);
@@ -56,13 +56,13 @@
   o.timeout_ms = call.inner.timeout_ms;
   ++calls_;
   const auto asked_ms = http::boot_ms();
-  const relay_notes notes{ asked_ms, asked_ms, {} };
+  const relay_metadata notes{ asked_ms, asked_ms, {} };
   auto sent = std::make_shared<http::pending>();
   *sent = http_.fetch(settings_.address,
                       request,
                       o,
                       [caller, notes](http::end_state end, http::response&& r) {
-                        caller.respond(relayed_answer(end, r, notes));
+                        caller.respond(relayed_response(end, r, notes));
                       });
   caller.on_gone([sent] { sent->cancel(); });
 }
@@ -73,7 +73,7 @@
 client::relay_watch(const http::call& caller, const relayed_call& asked)
 {
   const bool answers = !asked.message.is_null() && piggyback.answer;
-  relay_notes notes;
+  relay_metadata notes;
   notes.asked_ms = http::boot_ms();
   notes.message = answers ? piggyback.answer(asked.message) : nlohmann::json{};
   const auto done = [caller, notes](http::end_state end,
@@ -81,9 +81,9 @@
                                     std::uint64_t confirmed_ms) {
     auto n = notes;
     n.confirmed_ms = confirmed_ms;
-    caller.respond(relayed_answer(end, r, n));
+    caller.respond(relayed_response(end, r, n));
   };
-  if (asks_upstream(asked.hops)) {
+  if (should_join_upstream(asked.hops)) {
     join_upstream(asked.inner, asked.hops, done);
   } else {
     join_watch(asked.inner, shared_watches::origin::relayed, done);
@@ -93,11 +93,11 @@
 // A relay other than the first one joins its watches there, as long as the
 // first one answers.
 bool
-client::asks_upstream(std::uint64_t hops)
+client::should_join_upstream(std::uint64_t hops)
 {
   const bool is_later = settings_.rank && *settings_.rank > 0;
-  return is_later && hops < most_hops && first_watch_path_ != direct_path &&
-         take_if_open(paths_, first_watch_path_, http::now_ms());
+  return is_later && hops < max_hops && first_watch_path_ != direct_path &&
+         claim_if_open(paths_, first_watch_path_, http::now_ms());
 }
 
 bool
@@ -111,11 +111,11 @@
 }
 
 void
-client::join_watch(const held_call& inner,
+client::join_watch(const joinable_call& inner,
                    shared_watches::origin from,
                    shared_watches::handler done)
 {
-  const auto make = [this, inner] {
+  const auto start_call = [this, inner] {
     http::exchange_options o;
     o.timeout_ms = inner.timeout_ms;
     o.connect_timeout_ms = connect_ms;
@@ -125,62 +125,68 @@
                         held_ms = inner.held_ms,
                         asked_ms = http::boot_ms()](http::end_state end,
                                                     http::response&& r) {
-      const bool news = end == http::end_state::complete && has_changes(r);
+      const bool changed = end == http::end_state::complete && has_changes(r);
       const auto confirmed_ms =
-        confirmed_by_store(asked_ms, held_ms, news, http::boot_ms());
-      direct_.settle(target, http::now_ms(), end, r, confirmed_ms, news);
+        store_confirmed_ms(asked_ms, held_ms, changed, http::boot_ms());
+      direct_watches_.complete(
+        target, http::now_ms(), end, r, confirmed_ms, changed);
     };
     http_.fetch(settings_.address, inner.request, o, ended);
   };
   // Posted, so that a reused answer does not arrive before this function
   // returns.
-  asio::post(io_, [this, target = inner.request.target, from, make, done] {
-    direct_.ask(target, http::now_ms(), from, make, done);
-  });
+  asio::post(
+    io_, [this, target = inner.request.target, from, start_call, done] {
+      direct_watches_.join(target, http::now_ms(), from, start_call, done);
+    });
 }
 
 void
-client::join_upstream(const held_call& inner,
+client::join_upstream(const joinable_call& inner,
                       std::uint64_t hops,
                       shared_watches::handler done)
 {
-  const auto make = [this, inner, hops] {
+  const auto start_call = [this, inner, hops] {
     http::exchange_options o;
     o.timeout_ms = inner.timeout_ms + relay_extra_ms;
     o.connect_timeout_ms = connect_ms;
     ++relayed_;
-    const relayed_call relayed{ inner, true, hops + 1, next_message() };
+    const relayed_call relayed{ inner, true, hops + 1, next_piggyback() };
     http_.fetch(settings_.relays.front(),
                 encode(relayed),
                 o,
                 [this, inner, asked_ms = http::boot_ms()](http::end_state end,
                                                           http::response&& r) {
-                  take_upstream(inner, asked_ms, end, r);
+                  handle_upstream_response(inner, asked_ms, end, r);
                 });
   };
-  asio::post(io_, [this, target = inner.request.target, make, done] {
-    upstream_.ask(
-      target, http::now_ms(), shared_watches::origin::relayed, make, done);
+  asio::post(io_, [this, target = inner.request.target, start_call, done] {
+    upstream_watches_.join(target,
+                           http::now_ms(),
+                           shared_watches::origin::relayed,
+                           start_call,
+                           done);
   });
 }
 
 void
-client::take_upstream(const held_call& inner,
-                      std::uint64_t asked_ms,
-                      http::end_state end,
-                      const http::response& r)
+client::handle_upstream_response(const joinable_call& inner,
+                                 std::uint64_t asked_ms,
+                                 http::end_state end,
+                                 const http::response& r)
 {
-  hear(r);
+  handle_piggyback(r);
   constexpr int unavailable = 503;
   const auto target = inner.request.target;
   const bool complete = end == http::end_state::complete;
   const bool refused =
     end == http::end_state::not_sent || (complete && r.status == unavailable);
   if (refused || !complete) {
-    note_path(paths_,
-              first_watch_path_,
-              refused ? path_end::store_away : path_end::failed,
-              http::now_ms());
+    record_outcome(paths_,
+                   first_watch_path_,
+                   refused ? path_outcome::store_unreachable
+                           : path_outcome::failed,
+                   http::now_ms());
     process::log_line(timeline::event{ "upstream_failed" }
                         .with("target", target)
                         .with("path", settings_.relays.front())
@@ -193,14 +199,15 @@
                [this, target](http::end_state e,
                               const http::response& a,
                               std::uint64_t confirmed_ms) {
-                 upstream_.settle(
+                 upstream_watches_.complete(
                    target, http::now_ms(), e, a, confirmed_ms, false);
                });
     return;
   }
-  const bool news = complete && has_changes(r);
-  const auto confirmed_ms = confirmed_by_relay(r, asked_ms, http::boot_ms());
-  upstream_.settle(target, http::now_ms(), end, r, confirmed_ms, news);
+  const bool changed = complete && has_changes(r);
+  const auto confirmed_ms = relay_confirmed_ms(r, asked_ms, http::boot_ms());
+  upstream_watches_.complete(
+    target, http::now_ms(), end, r, confirmed_ms, changed);
 }
 
 } // namespace cactusford::store
--- a/cactusford/store/salvage-test.cc
+++ b/cactusford/store/salvage-test.cc
@@ -13,11 +13,11 @@
 // Returns the names that can be read from a list of three whose middle element
 // is `broken`.
 std::vector<std::string>
-names_beside(const std::string& broken)
+names_read(const std::string& broken)
 {
   const auto text =
     R"({"list":[{"n":"first"},)" + broken + R"(,{"n":"last"}],"count":9})";
-  const auto [j, has_marks] = store::parse_leniently(text);
+  const auto [j, was_repaired] = store::parse_leniently(text);
   std::vector<std::string> names;
   if (!j.is_object() || j.value("count", 0) != 9) {
     return names;
@@ -54,7 +54,7 @@
                                "\"\x01\"",
                                "\"\xff\xfe\"" }) {
       const auto text = R"({"n":"b","v":)" + std::string{ value } + "}";
-      cr_assert(names_beside(text) == all, "%s", value);
+      cr_assert(names_read(text) == all, "%s", value);
     }
   }
   SECTION("an object that is none takes its name with it, and nothing else")
@@ -65,18 +65,18 @@
                                 R"({"n":"b","v":})",
                                 R"({"n":"b"}{"n":"c"})",
                                 R"([1 2])" }) {
-      cr_assert(names_beside(object) == others, "%s", object);
+      cr_assert(names_read(object) == others, "%s", object);
     }
     const std::string deep(10'000, '[');
     const std::string closed(10'000, ']');
-    cr_assert(names_beside(deep + closed) == others);
+    cr_assert(names_read(deep + closed) == others);
   }
   SECTION("names given twice and long texts are no fault")
   {
     const names all{ "first", "b", "last" };
-    cr_assert(names_beside(R"({"n":"a","n":"b"})") == all);
+    cr_assert(names_read(R"({"n":"a","n":"b"})") == all);
     const auto text = R"({"n":"b","v":")" + std::string(100'000, 'x') + "\"}";
-    cr_assert(names_beside(text) == all);
+    cr_assert(names_read(text) == all);
   }
 }
 
@@ -85,12 +85,12 @@
   const std::string good =
     R"({"a":[1,-2.5e3,true,null],"b":"\ud83d\ude00 \u00e9\n\"","c":{}})";
   cr_assert_eq(store::mark_unreadable(good), good);
-  cr_assert_eq(store::cut_unreadable_elements(good), good);
+  cr_assert_eq(store::replace_unreadable_elements(good), good);
   const std::string empty = R"({"list":[ ],"count":9})";
-  cr_assert_eq(store::cut_unreadable_elements(empty), empty);
+  cr_assert_eq(store::replace_unreadable_elements(empty), empty);
   SECTION("the end of a message that is cut off is no element")
   {
-    const auto [j, has_marks] =
+    const auto [j, was_repaired] =
       store::parse_leniently(R"({"list":[{"n":"a"},{")");
     cr_assert(j.is_discarded());
   }
--- a/cactusford/store/salvage.cc
+++ b/cactusford/store/salvage.cc
@@ -19,7 +19,7 @@
 constexpr unsigned char first_printable = 0x20;
 
 // The mark as a JSON string and as a code point.
-constexpr std::string_view mark_text = "\"\xef\xb7\x90\"";
+constexpr std::string_view mark_string = "\"\xef\xb7\x90\"";
 constexpr std::uint32_t mark_code_point = 0xfdd0;
 
 // An escape is a backslash and a letter; for code units, `u` and four digits.
@@ -62,7 +62,7 @@
 struct escape_extent
 {
   std::size_t length = short_escape;
-  bool is_known = false;
+  bool is_valid = false;
 };
 
 escape_extent
@@ -85,14 +85,14 @@
 // Copies the string that starts with the quote at `at`; returns the position
 // after it.
 std::size_t
-copy_text(std::string_view text, std::size_t at, std::string& to)
+copy_string(std::string_view text, std::size_t at, std::string& to)
 {
   to += text[at++];
   while (at < text.size()) {
     const char c = text[at];
     if (c == '\\') {
       const auto escape = escape_at(text, at);
-      to += escape.is_known ? text.substr(at, escape.length) : unreadable_mark;
+      to += escape.is_valid ? text.substr(at, escape.length) : unreadable_mark;
       at += escape.length;
       continue;
     }
@@ -115,14 +115,14 @@
   if (nlohmann::json::accept(word)) {
     to += word;
   } else {
-    to += mark_text;
+    to += mark_string;
   }
   return end;
 }
 
 // Returns the position after the string that starts with the quote at `at`.
 std::size_t
-skip_text(std::string_view text, std::size_t at)
+skip_string(std::string_view text, std::size_t at)
 {
   for (++at; at < text.size() && text[at] != '"'; ++at) {
     at += text[at] == '\\' ? 1 : 0;
@@ -133,14 +133,14 @@
 void
 copy_element(std::string_view element, std::string& to)
 {
-  constexpr std::string_view blanks = " \t\r\n";
+  constexpr std::string_view whitespace = " \t\r\n";
   const bool is_empty =
-    element.find_first_not_of(blanks) == std::string_view::npos;
+    element.find_first_not_of(whitespace) == std::string_view::npos;
   if (is_empty || !parse_message(element).is_discarded()) {
     to += element;
     return;
   }
-  to += mark_text;
+  to += mark_string;
 }
 
 } // namespace
@@ -153,22 +153,22 @@
     text.begin(), text.end(), std::back_inserter(valid), mark_code_point);
   std::string marked;
   marked.reserve(valid.size());
-  const std::string_view from = valid;
+  const std::string_view input = valid;
   std::size_t at = 0;
-  while (at < from.size()) {
-    if (from[at] == '"') {
-      at = copy_text(from, at, marked);
-    } else if (punctuation.find(from[at]) != std::string_view::npos) {
-      marked += from[at++];
+  while (at < input.size()) {
+    if (input[at] == '"') {
+      at = copy_string(input, at, marked);
+    } else if (punctuation.find(input[at]) != std::string_view::npos) {
+      marked += input[at++];
     } else {
-      at = copy_word(from, at, marked);
+      at = copy_word(input, at, marked);
     }
   }
   return marked;
 }
 
 std::string
-cut_unreadable_elements(std::string_view text)
+replace_unreadable_elements(std::string_view text)
 {
   // Nesting depths inside the outermost object and inside an array in it.
   constexpr std::size_t in_object = 1;
@@ -183,7 +183,7 @@
   while (at < text.size()) {
     const char c = text[at];
     if (c == '"') {
-      at = skip_text(text, at);
+      at = skip_string(text, at);
       continue;
     }
     const bool opens = c == '{' || c == '[';
--- a/cactusford/store/salvage.h
+++ b/cactusford/store/salvage.h
@@ -24,6 +24,6 @@
 // is the mark. An element with unbalanced brackets also swallows the elements
 // after it.
 std::string
-cut_unreadable_elements(std::string_view text);
+replace_unreadable_elements(std::string_view text);
 
 } // namespace cactusford::store
--- a/cactusford/store/shared_watches-test.cc
+++ b/cactusford/store/shared_watches-test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Records the results of its watch.
-struct asker
+struct recording_waiter
 {
   int answers = 0;
   std::uint64_t confirmed_ms = 0;
@@ -28,7 +28,7 @@
 
 constexpr auto own = shared_watches::origin::own;
 
-const http::response news{ 200, {}, "changes" };
+const http::response changes_response{ 200, {}, "changes" };
 
 } // namespace
 
@@ -38,28 +38,28 @@
 {
   shared_watches w;
   int calls = 0;
-  std::vector<asker> all(20);
+  std::vector<recording_waiter> all(20);
   for (auto& a : all) {
-    w.ask(
+    w.join(
       "t", 0, own, [&] { ++calls; }, a.handler());
   }
   cr_assert_eq(calls, 1);
-  w.settle("t", 10, http::end_state::complete, news, 0, true);
+  w.complete("t", 10, http::end_state::complete, changes_response, 0, true);
   for (const auto& a : all) {
     cr_assert_eq(a.answers, 1);
   }
   SECTION("one that comes a little later gets the same changes")
   {
-    asker late;
-    w.ask(
+    recording_waiter late;
+    w.join(
       "t", 100, own, [&] { ++calls; }, late.handler());
     cr_assert_eq(late.answers, 1);
     cr_assert_eq(calls, 1);
   }
   SECTION("much later they may be out of date")
   {
-    asker late;
-    w.ask(
+    recording_waiter late;
+    w.join(
       "t", 10 + store::reuse_ms, own, [&] { ++calls; }, late.handler());
     cr_assert_eq(late.answers, 0);
     cr_assert_eq(calls, 2);
@@ -72,12 +72,12 @@
 {
   shared_watches w;
   int calls = 0;
-  asker first;
-  w.ask(
+  recording_waiter first;
+  w.join(
     "t", 0, own, [&] { ++calls; }, first.handler());
-  w.settle("t", 1000, http::end_state::complete, { 200, {}, "" }, 0, false);
-  asker again;
-  w.ask(
+  w.complete("t", 1000, http::end_state::complete, { 200, {}, "" }, 0, false);
+  recording_waiter again;
+  w.join(
     "t", 1001, own, [&] { ++calls; }, again.handler());
   cr_assert_eq(again.answers, 0);
   cr_assert_eq(calls, 2);
@@ -89,17 +89,17 @@
 {
   shared_watches w;
   int calls = 0;
-  asker a;
-  asker b;
-  w.ask(
+  recording_waiter a;
+  recording_waiter b;
+  w.join(
     "t", 0, own, [&] { ++calls; }, a.handler());
-  w.ask(
+  w.join(
     "t", 0, own, [&] { ++calls; }, b.handler());
-  w.settle("t", 5, http::end_state::cut, {}, 0, false);
+  w.complete("t", 5, http::end_state::cut, {}, 0, false);
   cr_assert_eq(a.answers + b.answers, 2);
   cr_assert(b.end == http::end_state::cut);
-  asker later;
-  w.ask(
+  recording_waiter later;
+  w.join(
     "t", 6, own, [&] { ++calls; }, later.handler());
   cr_assert_eq(later.answers, 0);
 }
@@ -108,14 +108,15 @@
 {
   shared_watches w;
   int calls = 0;
-  asker a;
-  asker b;
-  w.ask(
+  recording_waiter a;
+  recording_waiter b;
+  w.join(
     "t?since=1", 0, own, [&] { ++calls; }, a.handler());
-  w.ask(
+  w.join(
     "t?since=2", 0, own, [&] { ++calls; }, b.handler());
   cr_assert_eq(calls, 2);
-  w.settle("t?since=1", 5, http::end_state::complete, news, 0, true);
+  w.complete(
+    "t?since=1", 5, http::end_state::complete, changes_response, 0, true);
   cr_assert_eq(a.answers, 1);
   cr_assert_eq(b.answers, 0);
 }
@@ -126,14 +127,14 @@
 {
   shared_watches w;
   int calls = 0;
-  asker mine;
-  asker other;
-  w.ask(
+  recording_waiter mine;
+  recording_waiter other;
+  w.join(
     "t", 0, own, [&] { ++calls; }, mine.handler());
-  w.ask(
+  w.join(
     "t", 0, shared_watches::origin::relayed, [&] { ++calls; }, other.handler());
-  cr_assert_eq(w.take_relayed().size(), 1);
-  w.settle("t", 5, http::end_state::complete, news, 0, true);
+  cr_assert_eq(w.take_relayed_handlers().size(), 1);
+  w.complete("t", 5, http::end_state::complete, changes_response, 0, true);
   cr_assert_eq(mine.answers, 1);
   cr_assert_eq(other.answers, 0);
 }
@@ -145,12 +146,13 @@
 {
   shared_watches w;
   constexpr std::uint64_t confirmed_ms = 7;
-  asker first;
-  asker late;
-  w.ask(
+  recording_waiter first;
+  recording_waiter late;
+  w.join(
     "t", 0, own, [] {}, first.handler());
-  w.settle("t", 100, http::end_state::complete, news, confirmed_ms, true);
-  w.ask(
+  w.complete(
+    "t", 100, http::end_state::complete, changes_response, confirmed_ms, true);
+  w.join(
     "t", 200, own, [] {}, late.handler());
   cr_assert_eq(first.confirmed_ms, confirmed_ms);
   cr_assert_eq(late.confirmed_ms, confirmed_ms);
--- a/cactusford/store/shared_watches.cc
+++ b/cactusford/store/shared_watches.cc
@@ -3,11 +3,11 @@
 namespace cactusford::store {
 
 void
-shared_watches::ask(const std::string& target,
-                    std::uint64_t now_ms,
-                    origin from,
-                    const call& make,
-                    handler done)
+shared_watches::join(const std::string& target,
+                     std::uint64_t now_ms,
+                     origin from,
+                     const call_starter& start_call,
+                     handler done)
 {
   const auto recent = recent_.find(target);
   if (recent != recent_.end() && now_ms - recent->second.at_ms < reuse_ms) {
@@ -18,17 +18,17 @@
   const auto [waiting, is_first] = waiting_.try_emplace(target);
   waiting->second.push_back({ from, std::move(done) });
   if (is_first) {
-    make();
+    start_call();
   }
 }
 
 void
-shared_watches::settle(const std::string& target,
-                       std::uint64_t now_ms,
-                       http::end_state end,
-                       const http::response& r,
-                       std::uint64_t confirmed_ms,
-                       bool has_changes)
+shared_watches::complete(const std::string& target,
+                         std::uint64_t now_ms,
+                         http::end_state end,
+                         const http::response& r,
+                         std::uint64_t confirmed_ms,
+                         bool has_changes)
 {
   std::erase_if(recent_, [&](const auto& e) {
     return now_ms - e.second.at_ms >= reuse_ms;
@@ -48,7 +48,7 @@
 }
 
 std::vector<shared_watches::handler>
-shared_watches::take_relayed()
+shared_watches::take_relayed_handlers()
 {
   std::vector<handler> taken;
   for (auto& entry : waiting_) {
--- a/cactusford/store/shared_watches.h
+++ b/cactusford/store/shared_watches.h
@@ -27,7 +27,7 @@
   using handler = std::function<
     void(http::end_state, const http::response&, std::uint64_t confirmed_ms)>;
   // Makes the call to the store; `complete` must be called when it has ended.
-  using call = std::function<void()>;
+  using call_starter = std::function<void()>;
 
   // Who watches: this instance itself, or another instance through it.
   enum class origin
@@ -38,24 +38,24 @@
 
   // Calls `done` with the result of the call for `target` that is in flight;
   // starts one if there is none.
-  void ask(const std::string& target,
-           std::uint64_t now_ms,
-           origin from,
-           const call& make,
-           handler done);
+  void join(const std::string& target,
+            std::uint64_t now_ms,
+            origin from,
+            const call_starter& start_call,
+            handler done);
 
   // Reports that the call for `target` has ended. Only an answer with changes
   // is reused: whoever watches again after an answer without changes wants to
   // wait for the next change.
-  void settle(const std::string& target,
-              std::uint64_t now_ms,
-              http::end_state end,
-              const http::response& r,
-              std::uint64_t confirmed_ms,
-              bool has_changes);
+  void complete(const std::string& target,
+                std::uint64_t now_ms,
+                http::end_state end,
+                const http::response& r,
+                std::uint64_t confirmed_ms,
+                bool has_changes);
 
   // Removes and returns the handlers of other instances without calling them.
-  std::vector<handler> take_relayed();
+  std::vector<handler> take_relayed_handlers();
 
 private:
   struct answer
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -15,21 +15,21 @@
 
 // Maximum number of known relays, including those of the settings. A partition
 // that cuts off this many cuts off most instances.
-constexpr std::size_t most_relays = 8;
+constexpr std::size_t max_relays = 8;
 
 // Slightly longer than it takes to detect a shared watch that is silent.
-constexpr std::uint64_t cut_off_ms = 2500;
+constexpr std::uint64_t unreachable_after_ms = 2500;
 
-asked
-asked_by(operation op)
+response_kind
+response_kind_of(operation op)
 {
   switch (op) {
     case operation::watch:
-      return asked::watch;
+      return response_kind::watch;
     case operation::list:
-      return asked::list;
+      return response_kind::list;
     default:
-      return asked::one_object;
+      return response_kind::one_object;
   }
 }
 
@@ -39,7 +39,7 @@
 is_answered_at_once(const call& c)
 {
   return c.op == operation::list ||
-         (c.op == operation::watch && c.wait_ms <= least_hold_ms);
+         (c.op == operation::watch && c.wait_ms <= min_hold_ms);
 }
 
 } // namespace
@@ -133,8 +133,8 @@
   // later.
   bool unknown = false;
   // Tries that have not ended.
-  std::size_t under_way = 0;
-  bool is_settled = false;
+  std::size_t tries_in_flight = 0;
+  bool is_finished = false;
   std::shared_ptr<http::timer> second_path_timer;
 };
 
@@ -169,7 +169,7 @@
 {
   auto& all = settings_.relays;
   const bool known = std::find(all.begin(), all.end(), address) != all.end();
-  if (!known && all.size() < most_relays) {
+  if (!known && all.size() < max_relays) {
     all.push_back(address);
     add_path(paths_);
   }
@@ -178,7 +178,7 @@
 bool
 client::is_cut_off(std::uint64_t now_ms) const
 {
-  return lost_ && now_ms - last_answer_ms_ >= cut_off_ms;
+  return is_lost_ && now_ms - last_answer_ms_ >= unreachable_after_ms;
 }
 
 void
@@ -202,11 +202,11 @@
 client::try_next(const std::shared_ptr<attempt>& a)
 {
   const auto path =
-    take_path(paths_, a->tried, http::now_ms(), first_path_of(a->call));
+    select_path(paths_, a->tried, http::now_ms(), first_path_of(a->call));
   if (path) {
     try_path(a, *path);
-  } else if (a->under_way == 0) {
-    give_up(a);
+  } else if (a->tries_in_flight == 0) {
+    fail(a);
   }
 }
 
@@ -218,10 +218,11 @@
   a->second_path_timer = std::make_shared<http::timer>(
     io_, std::chrono::milliseconds{ second_path_after_ms });
   a->second_path_timer->async_wait([this, a](asio::error_code ec) {
-    if (ec || a->is_settled) {
+    if (ec || a->is_finished) {
       return;
     }
-    if (const auto path = take_second_path(paths_, a->tried, http::now_ms())) {
+    if (const auto path =
+          select_second_path(paths_, a->tried, http::now_ms())) {
       try_path(a, *path);
     }
   });
@@ -232,13 +233,13 @@
 std::uint64_t
 client::hops_to(const store::call& c, std::size_t path) const
 {
-  return path == first_path_of(c) ? 1 : most_hops;
+  return path == first_path_of(c) ? 1 : max_hops;
 }
 
 void
-client::settle(const std::shared_ptr<attempt>& a, reply&& r)
+client::finish(const std::shared_ptr<attempt>& a, reply&& r)
 {
-  a->is_settled = true;
+  a->is_finished = true;
   if (a->second_path_timer) {
     a->second_path_timer->cancel();
   }
@@ -250,7 +251,7 @@
 client::try_path(const std::shared_ptr<attempt>& a, std::size_t path)
 {
   a->tried.push_back(path);
-  ++a->under_way;
+  ++a->tries_in_flight;
   if (is_answered_at_once(a->call)) {
     try_second_path_later(a);
   }
@@ -259,15 +260,19 @@
   // Identical lists of many instances arrive together after a start and when
   // the store is back.
   const bool is_joined = is_watch || a->call.shared;
-  const auto timeout_ms = limit_ms(
-    settings_.limits, paths_, path, asked_by(a->call.op), a->call.wait_ms);
+  const auto timeout_ms = response_timeout_ms(settings_.limits,
+                                              paths_,
+                                              path,
+                                              response_kind_of(a->call.op),
+                                              a->call.wait_ms);
   if (path == direct_path && is_joined) {
     join_watch({ a->request, timeout_ms, a->call.wait_ms },
                shared_watches::origin::own,
                [this, a, sent](http::end_state end,
                                const http::response& r,
                                std::uint64_t confirmed_ms) {
-                 take(a, sent, end, http::response{ r }, confirmed_ms);
+                 handle_response(
+                   a, sent, end, http::response{ r }, confirmed_ms);
                });
     return;
   }
@@ -275,8 +280,8 @@
     const auto confirmed_ms =
       sent.path == direct_path
         ? sent.at_ms
-        : confirmed_by_relay(r, sent.at_ms, http::boot_ms());
-    take(a, sent, end, std::move(r), confirmed_ms);
+        : relay_confirmed_ms(r, sent.at_ms, http::boot_ms());
+    handle_response(a, sent, end, std::move(r), confirmed_ms);
   };
   http::exchange_options o;
   o.connect_timeout_ms = connect_ms;
@@ -292,59 +297,63 @@
   relayed.inner = { a->request, timeout_ms, a->call.wait_ms };
   relayed.shared = is_joined;
   relayed.hops = hops_to(a->call, path);
-  relayed.message = is_joined ? next_message() : nlohmann::json{};
+  relayed.message = is_joined ? next_piggyback() : nlohmann::json{};
   http_.fetch(settings_.relays[path - 1], encode(relayed), o, ended);
 }
 
 void
-client::take(const std::shared_ptr<attempt>& a,
-             path_try sent,
-             http::end_state end,
-             http::response&& r,
-             std::uint64_t confirmed_ms)
+client::handle_response(const std::shared_ptr<attempt>& a,
+                        path_try sent,
+                        http::end_state end,
+                        http::response&& r,
+                        std::uint64_t confirmed_ms)
 {
   const auto now = http::now_ms();
   // The list of relays may have been replaced since the call was sent.
   const auto path = sent.path < paths_.paths.size() ? sent.path : direct_path;
   const bool complete = end == http::end_state::complete;
-  --a->under_way;
-  hear(r);
+  --a->tries_in_flight;
+  handle_piggyback(r);
   reply answer;
-  answer.what = end == http::end_state::not_sent ? call_result::refused
-                                                 : call_result::unknown;
+  answer.result = end == http::end_state::not_sent ? call_result::refused
+                                                   : call_result::unknown;
   if (complete) {
     answer = dialect_.decode(a->call, r);
   }
   const bool is_answer = answer.result != call_result::refused &&
                          answer.result != call_result::unknown;
   if (is_answer) {
-    note_path(paths_, path, path_end::answered, now);
-    note_answer();
+    record_outcome(paths_, path, path_outcome::answered, now);
+    record_answer();
     answer.confirmed_ms = confirmed_ms;
-    if (!a->is_settled) {
-      settle(a, std::move(answer));
+    if (!a->is_finished) {
+      finish(a, std::move(answer));
     }
     return;
   }
-  log_failure(*a, sent, end, answer.what);
-  const bool away = path != direct_path && complete && says_away(r);
+  log_failure(*a, sent, end, answer.result);
+  const bool away =
+    path != direct_path && complete && reports_store_unreachable(r);
   // The store ends waiting watches now and then; the next call shows whether it
   // is reachable. A relay that stopped answering is marked as failed.
   if (a->call.op == operation::watch && answer.result == call_result::unknown) {
     if (path != direct_path && !away) {
-      note_path(paths_, path, path_end::failed, now);
+      record_outcome(paths_, path, path_outcome::failed, now);
     }
-    settle(a, std::move(answer));
+    finish(a, std::move(answer));
     return;
   }
-  note_path(paths_, path, away ? path_end::store_away : path_end::failed, now);
-  if (a->is_settled) {
+  record_outcome(paths_,
+                 path,
+                 away ? path_outcome::store_unreachable : path_outcome::failed,
+                 now);
+  if (a->is_finished) {
     return;
   }
   // A relay that shuts down refuses all calls; that says nothing about the
   // store.
   if (path == direct_path) {
-    note_failure(http::name_of(end));
+    record_failure(http::name_of(end));
   }
   a->unknown = a->unknown || answer.result == call_result::unknown;
   try_next(a);
@@ -378,9 +387,9 @@
 
 // Handles the message that a relay piggybacked on the store's answer.
 void
-client::hear(const http::response& r) const
+client::handle_piggyback(const http::response& r) const
 {
-  const auto message = message_of(r);
+  const auto message = piggybacked_message(r);
   if (!message.is_null() && piggyback.incoming) {
     piggyback.incoming(message);
   }
@@ -388,27 +397,27 @@
 
 // Returns the message to piggyback on a watch; null for none.
 nlohmann::json
-client::next_message() const
+client::next_piggyback() const
 {
   return piggyback.outgoing ? piggyback.outgoing() : nlohmann::json{};
 }
 
 void
-client::give_up(const std::shared_ptr<attempt>& a)
+client::fail(const std::shared_ptr<attempt>& a)
 {
   reply answer;
-  answer.what = a->unknown ? call_result::unknown : call_result::refused;
-  note_failure("no_path");
-  settle(a, std::move(answer));
+  answer.result = a->unknown ? call_result::unknown : call_result::refused;
+  record_failure("no_path");
+  finish(a, std::move(answer));
 }
 
 void
-client::note_answer()
+client::record_answer()
 {
   const auto now = http::now_ms();
   const auto before = std::exchange(last_answer_ms_, now);
-  if (lost_) {
-    lost_ = false;
+  if (is_lost_) {
+    is_lost_ = false;
     if (on_regained) {
       on_regained(now - before);
     }
@@ -416,10 +425,10 @@
 }
 
 void
-client::note_failure(std::string_view why)
+client::record_failure(std::string_view why)
 {
-  if (!lost_) {
-    lost_ = true;
+  if (!is_lost_) {
+    is_lost_ = true;
     if (on_lost) {
       on_lost(why);
     }
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -71,7 +71,7 @@
 };
 
 // The shortest wait time of a watch, which only checks for changes.
-constexpr std::uint64_t least_hold_ms = 1;
+constexpr std::uint64_t min_hold_ms = 1;
 
 struct call
 {
@@ -118,7 +118,7 @@
 
 struct reply
 {
-  call_result what = call_result::unknown;
+  call_result result = call_result::unknown;
   std::vector<object> items;
   std::vector<change> changes;
   std::vector<unreadable> broken;
@@ -175,7 +175,7 @@
 // Maximum number of relays between an instance and the store, for a watch.
 // Lists of relays may differ between instances, and two relays that each take
 // the other for the first one would forward a watch forever.
-constexpr std::uint64_t most_hops = 2;
+constexpr std::uint64_t max_hops = 2;
 
 // Instances and the store are close to each other; a connection that takes
 // longer is not going to succeed.
@@ -240,35 +240,35 @@
   void try_path(const std::shared_ptr<attempt>& a, std::size_t path);
   std::size_t first_path_of(const store::call& c) const;
   std::uint64_t hops_to(const store::call& c, std::size_t path) const;
-  void settle(const std::shared_ptr<attempt>& a, reply&& r);
-  void take(const std::shared_ptr<attempt>& a,
-            path_try sent,
-            http::end_state end,
-            http::response&& r,
-            std::uint64_t confirmed_ms);
+  void finish(const std::shared_ptr<attempt>& a, reply&& r);
+  void handle_response(const std::shared_ptr<attempt>& a,
+                       path_try sent,
+                       http::end_state end,
+                       http::response&& r,
+                       std::uint64_t confirmed_ms);
   std::string name_of_path(std::size_t path) const;
   void log_failure(const attempt& a,
                    path_try sent,
                    http::end_state end,
                    call_result v);
-  void give_up(const std::shared_ptr<attempt>& a);
-  void hear(const http::response& r) const;
-  nlohmann::json next_message() const;
+  void fail(const std::shared_ptr<attempt>& a);
+  void handle_piggyback(const http::response& r) const;
+  nlohmann::json next_piggyback() const;
   void relay_watch(const http::call& caller, const relayed_call& asked);
-  void join_watch(const held_call& inner,
+  void join_watch(const joinable_call& inner,
                   shared_watches::origin from,
                   shared_watches::handler done);
-  void join_upstream(const held_call& inner,
+  void join_upstream(const joinable_call& inner,
                      std::uint64_t hops,
                      shared_watches::handler done);
-  void take_upstream(const held_call& inner,
-                     std::uint64_t asked_ms,
-                     http::end_state end,
-                     const http::response& r);
-  bool asks_upstream(std::uint64_t hops);
+  void handle_upstream_response(const joinable_call& inner,
+                                std::uint64_t asked_ms,
+                                http::end_state end,
+                                const http::response& r);
+  bool should_join_upstream(std::uint64_t hops);
   bool has_changes(const http::response& r) const;
-  void note_answer();
-  void note_failure(std::string_view why);
+  void record_answer();
+  void record_failure(std::string_view why);
 
   asio::io_context& io_;
   http::client& http_;
@@ -279,13 +279,13 @@
   std::uint64_t calls_ = 0;
   std::uint64_t relayed_ = 0;
   std::uint64_t failed_tries_ = 0;
-  bool lost_ = false;
+  bool is_lost_ = false;
   bool relaying_ = true;
   std::size_t first_watch_path_ = direct_path;
   // Watches made directly, for this instance and others, and watches joined
   // through the first relay.
-  shared_watches direct_;
-  shared_watches upstream_;
+  shared_watches direct_watches_;
+  shared_watches upstream_watches_;
 };
 
 } // namespace cactusford::store
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -14,20 +14,20 @@
 // milliseconds. Recovery of the store should be noticed well within a second;
 // the paths limit how often it is actually asked.
 constexpr std::uint64_t first_pause_ms = 50;
-constexpr std::uint64_t longest_pause_ms = 400;
+constexpr std::uint64_t max_pause_ms = 400;
 
 // An answer with changes may have been delayed by a relay that was paused, and
 // the relay may be silent next: the delay plus the whole next watch would
 // exceed the time within which a change must be known. A view that is older
 // than this is confirmed by a watch that the store does not hold.
-constexpr std::uint64_t old_ms = 150;
+constexpr std::uint64_t stale_after_ms = 150;
 
 std::uint64_t
 pause_after(std::uint32_t failures)
 {
   constexpr std::uint32_t doublings = 4;
   return std::min(first_pause_ms << std::min(failures - 1, doublings),
-                  longest_pause_ms);
+                  max_pause_ms);
 }
 
 } // namespace
@@ -69,7 +69,7 @@
 }
 
 void
-watcher::ask(const call& c, client::handler done)
+watcher::perform(const call& c, client::handler done)
 {
   asked_ms_ = http::now_ms();
   store_.perform(c, std::move(done));
@@ -87,10 +87,10 @@
 // At most one check after each long watch, as a slow store would be asked
 // forever otherwise.
 void
-watcher::decide_check()
+watcher::schedule_check()
 {
   const auto age = http::boot_ms() - confirmed_ms_;
-  is_check_ = settings_.is_urgent && !is_check_ && age > old_ms;
+  is_check_ = settings_.is_urgent && !is_check_ && age > stale_after_ms;
 }
 
 // Subtracts the pause, so that a relay that falls silent during it is detected
@@ -100,48 +100,49 @@
 watcher::hold_ms() const
 {
   if (is_check_) {
-    return least_hold_ms;
+    return min_hold_ms;
   }
   const auto gathered = has_gathered_ ? settings_.gather_ms : 0;
   return settings_.wait_ms - std::min(gathered, settings_.wait_ms);
 }
 
 void
-watcher::list(listing sofar)
+watcher::list(listing partial)
 {
   call c;
   c.op = operation::list;
   c.kind = settings_.kind;
-  c.after = sofar.after;
+  c.after = partial.after;
   c.shared = settings_.shared;
-  ask(c, [this, sofar, round = round_](reply&& r) mutable {
+  perform(c, [this, partial, round = round_](reply&& r) mutable {
     const bool is_useful = r.result == call_result::done && !r.more;
     if (!running_ || (round != round_ && !is_useful)) {
       return;
     }
     if (r.result != call_result::done) {
-      note_failed(operation::list, r.what);
-      wait_and_watch(pause_left());
+      record_failed_call(operation::list, r.result);
+      watch_after(pause_left());
       return;
     }
     // Pages are read one after the other; the watch repeats changes since the
     // first of them, which is harmless.
-    if (sofar.first_as_of == 0) {
-      sofar.first_as_of = r.as_of;
-      sofar.confirmed_ms = r.confirmed_ms;
+    if (partial.first_as_of == 0) {
+      partial.first_as_of = r.as_of;
+      partial.confirmed_ms = r.confirmed_ms;
     }
     std::move(
-      r.items.begin(), r.items.end(), std::back_inserter(sofar.objects));
+      r.items.begin(), r.items.end(), std::back_inserter(partial.objects));
     std::move(
-      r.broken.begin(), r.broken.end(), std::back_inserter(sofar.broken));
+      r.broken.begin(), r.broken.end(), std::back_inserter(partial.broken));
     // A page without a readable name would be requested forever.
-    const bool moves_on = !r.last_name.empty() && r.last_name != sofar.after;
-    if (r.more && moves_on) {
-      sofar.after = r.last_name;
-      list(std::move(sofar));
+    const bool makes_progress =
+      !r.last_name.empty() && r.last_name != partial.after;
+    if (r.more && makes_progress) {
+      partial.after = r.last_name;
+      list(std::move(partial));
       return;
     }
-    end_list(std::move(sofar), round);
+    end_list(std::move(partial), round);
   });
 }
 
@@ -165,15 +166,15 @@
                         .with("as_of", l.first_as_of)
                         .with("shown", as_of_));
     ++failures_;
-    wait_and_watch(pause_left());
+    watch_after(pause_left());
     return;
   }
   listed_ = true;
   needs_list_ = false;
   as_of_ = l.first_as_of;
-  note_confirmed(l.confirmed_ms);
+  record_confirmation(l.confirmed_ms);
   events_.on_list(std::move(l.objects));
-  tell_unreadable(l.broken);
+  report_unreadable(l.broken);
   if (events_.on_current) {
     events_.on_current();
   }
@@ -183,7 +184,7 @@
 }
 
 void
-watcher::note_failed(operation op, call_result v)
+watcher::record_failed_call(operation op, call_result v)
 {
   ++failures_;
   process::log_line(
@@ -197,7 +198,7 @@
 }
 
 void
-watcher::note_confirmed(std::uint64_t at_ms)
+watcher::record_confirmation(std::uint64_t at_ms)
 {
   if (failures_ > 0) {
     process::log_line(
@@ -213,7 +214,7 @@
 }
 
 void
-watcher::tell_unreadable(const std::vector<unreadable>& broken)
+watcher::report_unreadable(const std::vector<unreadable>& broken)
 {
   for (const auto& u : broken) {
     if (events_.on_unreadable) {
@@ -241,7 +242,7 @@
   c.wait_ms = hold_ms();
   has_gathered_ = false;
   c.shared = settings_.shared;
-  ask(c, [this, round = round_](reply&& r) {
+  perform(c, [this, round = round_](reply&& r) {
     const bool is_useful = r.result == call_result::done;
     if (running_ && (round == round_ || is_useful)) {
       on_reply(std::move(r), round);
@@ -263,8 +264,8 @@
     // is dropped a moment later. The next watch would be held as if nothing had
     // changed; a list returns the current state.
     needs_list_ = true;
-    note_failed(operation::watch, r.what);
-    wait_and_watch(pause_left());
+    record_failed_call(operation::watch, r.result);
+    watch_after(pause_left());
     return;
   }
   // An answer without changes may have been made while the store was still
@@ -272,27 +273,27 @@
   // continuing from it would skip them for good. Watching from the older
   // revision still returns them, or the history is gone and the kind is listed
   // again.
-  const bool has_news = !r.changes.empty() || !r.broken.empty();
-  if (has_news) {
+  const bool has_changes = !r.changes.empty() || !r.broken.empty();
+  if (has_changes) {
     as_of_ = std::max(as_of_, r.as_of);
   }
-  note_confirmed(r.confirmed_ms);
-  decide_check();
+  record_confirmation(r.confirmed_ms);
+  schedule_check();
   for (auto& c : r.changes) {
     events_.on_change(std::move(c));
   }
-  tell_unreadable(r.broken);
+  report_unreadable(r.broken);
   if (events_.on_current) {
     events_.on_current();
   }
   if (round == round_) {
-    has_gathered_ = has_news;
-    wait_and_watch(has_news ? settings_.gather_ms : 0);
+    has_gathered_ = has_changes;
+    watch_after(has_changes ? settings_.gather_ms : 0);
   }
 }
 
 void
-watcher::wait_and_watch(std::uint64_t ms)
+watcher::watch_after(std::uint64_t ms)
 {
   if (ms == 0) {
     watch();
--- a/cactusford/store/watcher.h
+++ b/cactusford/store/watcher.h
@@ -71,19 +71,19 @@
     std::uint64_t confirmed_ms = 0;
   };
 
-  void list(listing sofar);
+  void list(listing partial);
   bool is_older_than_shown(const listing& l) const;
   void end_list(listing&& l, std::uint64_t round);
   void watch();
-  void wait_and_watch(std::uint64_t ms);
-  void ask(const call& c, client::handler done);
+  void watch_after(std::uint64_t ms);
+  void perform(const call& c, client::handler done);
   std::uint64_t pause_left() const;
   std::uint64_t hold_ms() const;
-  void decide_check();
+  void schedule_check();
   void on_reply(reply&& r, std::uint64_t round);
-  void tell_unreadable(const std::vector<unreadable>& broken);
-  void note_confirmed(std::uint64_t at_ms);
-  void note_failed(operation op, call_result v);
+  void report_unreadable(const std::vector<unreadable>& broken);
+  void record_confirmation(std::uint64_t at_ms);
+  void record_failed_call(operation op, call_result v);
 
   http::timer timer_;
   client& store_;
