--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -106,7 +106,7 @@
   store::call watch;
   watch.op = operation::watch;
   const auto answer = dialect_.decode(watch, r);
-  return !answer.changes.empty() || !answer.broken.empty() ||
+  return !answer.changes.empty() || !answer.unreadable_objects.empty() ||
          !answer.items.empty();
 }
 
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -132,8 +132,9 @@
     }
     std::move(
       r.items.begin(), r.items.end(), std::back_inserter(partial.objects));
-    std::move(
-      r.broken.begin(), r.broken.end(), std::back_inserter(partial.broken));
+    std::move(r.unreadable_objects.begin(),
+              r.unreadable_objects.end(),
+              std::back_inserter(partial.broken));
     // A page without a readable name would be requested forever.
     const bool makes_progress =
       !r.last_name.empty() && r.last_name != partial.after;
@@ -273,7 +274,7 @@
   // continuing from it would skip them for good. Watching from the older
   // revision still returns them, or the history is gone and the kind is listed
   // again.
-  const bool has_changes = !r.changes.empty() || !r.broken.empty();
+  const bool has_changes = !r.changes.empty() || !r.unreadable_objects.empty();
   if (has_changes) {
     as_of_ = std::max(as_of_, r.as_of);
   }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -43,7 +43,7 @@
   const auto name =
     store::try_decode([&] { return store::string_field(j, "name"); });
   if (!o) {
-    r.broken.push_back({ name.value_or(""), o.fault });
+    r.unreadable_objects.push_back({ name.value_or(""), o.fault });
   }
   r.last_name = name.value_or(r.last_name);
   return o;
