--- a/cactusford/batches/keeper.cc
+++ b/cactusford/batches/keeper.cc
@@ -435,7 +435,7 @@
 bool
 keeper::can_own() const
 {
-  return !impl_->leaving && !impl_->p.store.is_cut_off(http::now_ms());
+  return !impl_->leaving && !impl_->p.store.is_disconnected(http::now_ms());
 }
 
 void
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -176,7 +176,7 @@
 }
 
 bool
-client::is_cut_off(std::uint64_t now_ms) const
+client::is_disconnected(std::uint64_t now_ms) const
 {
   return is_lost_ && now_ms - last_answer_ms_ >= unreachable_after_ms;
 }
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -213,7 +213,7 @@
   std::uint64_t last_answer_ms() const { return last_answer_ms_; }
 
   // Returns true if no path has reached the store for a while.
-  bool is_cut_off(std::uint64_t now_ms) const;
+  bool is_disconnected(std::uint64_t now_ms) const;
 
   std::uint64_t calls() const { return calls_; }
   std::uint64_t relayed() const { return relayed_; }
