--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -121,7 +121,7 @@
   void on_configuration(const store::object& o);
   void on_backend_list(std::vector<store::object>&& all);
   void on_backend(store::change&& c);
-  void on_broken_backend(const store::unreadable& u);
+  void on_broken_backend(const store::unreadable_object& u);
   void watch_all();
   void show_views();
   void show_guard();
@@ -224,7 +224,7 @@
                    },
                     [this](store::change&& c) { on_backend(std::move(c)); },
                     [this] { keeper.on_backends(); },
-                    [this](const store::unreadable& u) {
+                    [this](const store::unreadable_object& u) {
                       on_broken_backend(u);
                     } } }
   , batch_list{ h.io,
@@ -449,7 +449,7 @@
 // An entry that can't be read names no backend server, and what it announced
 // before stands no longer: it may have been written over.
 void
-edge_process::on_broken_backend(const store::unreadable& u)
+edge_process::on_broken_backend(const store::unreadable_object& u)
 {
   store::log_unreadable(d.kinds.backends, u);
   backends::drop(registry, u.name);
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -603,7 +603,7 @@
      },
       [&](store::change&& c) { shown.insert(c.value.name); },
       {},
-      [&](const store::unreadable& u) { broken.insert(u.name); } }
+      [&](const store::unreadable_object& u) { broken.insert(u.name); } }
   };
   things.start();
   w.run_until([&] { return things.is_current(); });
