--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -45,7 +45,7 @@
 } // namespace
 
 void
-log_unreadable(std::string_view kind, const unreadable& u)
+log_unreadable(std::string_view kind, const unreadable_object& u)
 {
   process::log_line(timeline::event{ "object_unreadable" }
                       .with("kind", kind)
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -45,19 +45,20 @@
 // An object that could not be decoded, as anyone may write to the store. Its
 // previous value is no longer valid; the other objects in the same answer are
 // not affected.
-struct unreadable
+struct unreadable_object
 {
   // Empty if not even the name could be read.
   std::string name;
   decode_error fault;
 
-  friend bool operator==(const unreadable&, const unreadable&) = default;
+  friend bool operator==(const unreadable_object&,
+                         const unreadable_object&) = default;
 };
 
 // Logs an object that could not be decoded: its name, the field and the reason.
 // The log limits the number of such lines.
 void
-log_unreadable(std::string_view kind, const unreadable& u);
+log_unreadable(std::string_view kind, const unreadable_object& u);
 
 enum class operation
 {
@@ -121,7 +122,7 @@
   call_result result = call_result::unknown;
   std::vector<object> items;
   std::vector<change> changes;
-  std::vector<unreadable> broken;
+  std::vector<unreadable_object> unreadable_objects;
   bool more = false;
   // If there are more pages: the name after which the next page starts.
   std::string last_name;
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -134,7 +134,7 @@
       r.items.begin(), r.items.end(), std::back_inserter(partial.objects));
     std::move(r.unreadable_objects.begin(),
               r.unreadable_objects.end(),
-              std::back_inserter(partial.broken));
+              std::back_inserter(partial.unreadable_objects));
     // A page without a readable name would be requested forever.
     const bool makes_progress =
       !r.last_name.empty() && r.last_name != partial.after;
@@ -175,7 +175,7 @@
   as_of_ = l.first_as_of;
   record_confirmation(l.confirmed_ms);
   events_.on_list(std::move(l.objects));
-  report_unreadable(l.broken);
+  report_unreadable(l.unreadable_objects);
   if (events_.on_current) {
     events_.on_current();
   }
@@ -215,9 +215,10 @@
 }
 
 void
-watcher::report_unreadable(const std::vector<unreadable>& broken)
+watcher::report_unreadable(
+  const std::vector<unreadable_object>& unreadable_objects)
 {
-  for (const auto& u : broken) {
+  for (const auto& u : unreadable_objects) {
     if (events_.on_unreadable) {
       events_.on_unreadable(u);
     } else {
@@ -283,7 +284,7 @@
   for (auto& c : r.changes) {
     events_.on_change(std::move(c));
   }
-  report_unreadable(r.broken);
+  report_unreadable(r.unreadable_objects);
   if (events_.on_current) {
     events_.on_current();
   }
--- a/cactusford/store/watcher.h
+++ b/cactusford/store/watcher.h
@@ -15,7 +15,7 @@
   // Called after each answer of the store, with or without changes.
   std::function<void()> on_current;
   // Receives an object that could not be decoded. Default: it is logged.
-  std::function<void(const unreadable&)> on_unreadable = {};
+  std::function<void(const unreadable_object&)> on_unreadable = {};
 };
 
 struct watch_settings
@@ -66,7 +66,7 @@
   {
     std::string after;
     std::vector<object> objects;
-    std::vector<unreadable> broken;
+    std::vector<unreadable_object> unreadable_objects;
     std::uint64_t first_as_of = 0;
     std::uint64_t confirmed_ms = 0;
   };
@@ -81,7 +81,8 @@
   std::uint64_t hold_ms() const;
   void schedule_check();
   void on_reply(reply&& r, std::uint64_t round);
-  void report_unreadable(const std::vector<unreadable>& broken);
+  void report_unreadable(
+    const std::vector<unreadable_object>& unreadable_objects);
   void record_confirmation(std::uint64_t at_ms);
   void record_failed_call(operation op, call_result v);
 
