--- a/cactusford/calls/assembly-test.cc
+++ b/cactusford/calls/assembly-test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 assembly
-fresh()
+make_assembly()
 {
   assembly a;
   a.request_id = "r1";
@@ -19,50 +19,50 @@
 
 } // namespace
 
-// The caller of r1 must get r1's whole answer. Frames of a cut attempt, of
-// another request, or out of order arrive among the good ones; taking one of
-// them, or stopping early, would pass a wrong or short answer off as whole.
-Test(assembly, takes_only_a_whole_answer)
+// Frames of an interrupted attempt, of another request or out of order arrive
+// among the valid ones. Accepting one of them, or stopping early, would deliver
+// a wrong or truncated answer as complete.
+Test(assembly, accepts_only_a_complete_answer)
 {
-  SECTION("frames in order and a true end mark")
+  SECTION("frames in order and a correct end mark")
   {
-    auto a = fresh();
-    cr_assert(accept(a, { "r1", 2, 0 }) == verdict::take);
+    auto a = make_assembly();
+    cr_assert(accept_frame(a, { "r1", 2, 0 }) == frame_result::accepted);
     a.sum.add("hello");
-    cr_assert(accept(a, { "r1", 2, 1 }) == verdict::take);
-    checksum real;
-    real.add("hello");
-    cr_assert(accept_end(a, 1, real.value()) == verdict::take);
-    SECTION("nothing is taken after the end")
+    cr_assert(accept_frame(a, { "r1", 2, 1 }) == frame_result::accepted);
+    checksum expected;
+    expected.add("hello");
+    cr_assert(accept_end(a, 1, expected.value()) == frame_result::accepted);
+    SECTION("frames after the end are ignored")
     {
-      cr_assert(accept(a, { "r1", 2, 2 }) == verdict::drop);
+      cr_assert(accept_frame(a, { "r1", 2, 2 }) == frame_result::ignored);
     }
   }
-  SECTION("foreign and repeated frames are dropped without harm")
+  SECTION("frames of other attempts and duplicates are ignored")
   {
-    auto a = fresh();
-    cr_assert(accept(a, { "r2", 2, 0 }) == verdict::drop);
-    cr_assert(accept(a, { "r1", 1, 0 }) == verdict::drop);
-    cr_assert(accept(a, { "r1", 2, 0 }) == verdict::take);
-    cr_assert(accept(a, { "r1", 2, 0 }) == verdict::drop);
+    auto a = make_assembly();
+    cr_assert(accept_frame(a, { "r2", 2, 0 }) == frame_result::ignored);
+    cr_assert(accept_frame(a, { "r1", 1, 0 }) == frame_result::ignored);
+    cr_assert(accept_frame(a, { "r1", 2, 0 }) == frame_result::accepted);
+    cr_assert(accept_frame(a, { "r1", 2, 0 }) == frame_result::ignored);
     cr_assert_eq(a.next_sequence, 1);
   }
-  SECTION("a gap breaks the answer")
+  SECTION("a missing frame makes the answer corrupt")
   {
-    auto a = fresh();
-    cr_assert(accept(a, { "r1", 2, 1 }) == verdict::broken);
+    auto a = make_assembly();
+    cr_assert(accept_frame(a, { "r1", 2, 1 }) == frame_result::corrupt);
   }
-  SECTION("a wrong count or checksum breaks it")
+  SECTION("a wrong frame count or checksum makes the answer corrupt")
   {
-    auto a = fresh();
-    accept(a, { "r1", 2, 0 });
+    auto a = make_assembly();
+    accept_frame(a, { "r1", 2, 0 });
     a.sum.add("hello");
-    accept(a, { "r1", 2, 1 });
+    accept_frame(a, { "r1", 2, 1 });
     checksum other;
     other.add("hellO");
-    cr_assert(accept_end(a, 1, other.value()) == verdict::broken);
-    auto b = fresh();
-    accept(b, { "r1", 2, 0 });
-    cr_assert(accept_end(b, 7, b.sum.value()) == verdict::broken);
+    cr_assert(accept_end(a, 1, other.value()) == frame_result::corrupt);
+    auto b = make_assembly();
+    accept_frame(b, { "r1", 2, 0 });
+    cr_assert(accept_end(b, 7, b.sum.value()) == frame_result::corrupt);
   }
 }
--- a/cactusford/calls/assembly.cc
+++ b/cactusford/calls/assembly.cc
@@ -42,28 +42,29 @@
   return XXH3_64bits_digest(static_cast<const XXH3_state_t*>(state_));
 }
 
-verdict
-accept(assembly& a, const frame_head& head)
+frame_result
+accept_frame(assembly& a, const frame_header& header)
 {
   const bool foreign =
-    head.request_id != a.request_id || head.attempt != a.attempt;
-  if (foreign || a.ended || head.sequence < a.next_sequence) {
-    return verdict::drop;
+    header.request_id != a.request_id || header.attempt != a.attempt;
+  if (foreign || a.ended || header.sequence < a.next_sequence) {
+    return frame_result::ignored;
   }
-  if (head.sequence > a.next_sequence) {
-    return verdict::broken;
+  if (header.sequence > a.next_sequence) {
+    return frame_result::corrupt;
   }
   ++a.next_sequence;
-  return verdict::take;
+  return frame_result::accepted;
 }
 
-verdict
+frame_result
 accept_end(assembly& a, std::uint32_t frames, std::uint64_t sum)
 {
   a.ended = true;
-  // The end mark itself is the frame behind the counted ones.
-  const bool whole = frames + 1 == a.next_sequence && sum == a.sum.value();
-  return whole ? verdict::take : verdict::broken;
+  // The end mark's own frame is accepted too, but not included in `frames`.
+  const bool is_complete =
+    frames + 1 == a.next_sequence && sum == a.sum.value();
+  return is_complete ? frame_result::accepted : frame_result::corrupt;
 }
 
 } // namespace cactusford::calls
--- a/cactusford/calls/assembly.h
+++ b/cactusford/calls/assembly.h
@@ -1,5 +1,5 @@
-// Puts the frames of one attempt together into a whole answer, or says why it
-// is not whole. Pure.
+// Checks that the frames of one attempt arrive whole and in order, and verifies
+// the final count and checksum. Has no side effects.
 #pragma once
 
 #include <cstdint>
@@ -8,24 +8,26 @@
 
 namespace cactusford::calls {
 
-// What a frame does to the answer under assembly.
-enum class verdict
+// What the receiver does with a frame.
+enum class frame_result
 {
-  take,
-  // Another request's or attempt's, or a repeat: no harm, no use.
-  drop,
-  // A gap, a wrong count or a wrong checksum: the answer cannot become whole.
-  broken,
+  accepted,
+  // The frame is a duplicate, or belongs to another request or attempt.
+  // Ignoring it does no harm.
+  ignored,
+  // A frame is missing, or the frame count or checksum is wrong: the answer
+  // cannot be completed.
+  corrupt,
 };
 
-struct frame_head
+struct frame_header
 {
   std::string_view request_id;
   std::uint32_t attempt = 0;
   std::uint32_t sequence = 0;
 };
 
-// Running XXH3 over all bytes, in order.
+// Incremental XXH3 checksum over all bytes in order.
 class checksum
 {
 public:
@@ -49,12 +51,14 @@
   checksum sum;
 };
 
-// Judges the frame by its head and moves the sequence on.
-verdict
-accept(assembly& a, const frame_head& head);
+// Checks the request id, attempt and sequence number of a frame. An accepted
+// frame advances the expected sequence number.
+frame_result
+accept_frame(assembly& a, const frame_header& header);
 
-// Judges the end mark, whose frame was accepted before.
-verdict
+// Checks the frame count and checksum of the end mark. The frame that carries
+// it must have passed `accept_frame` first.
+frame_result
 accept_end(assembly& a, std::uint32_t frames, std::uint64_t sum);
 
 } // namespace cactusford::calls
--- a/cactusford/calls/home.h
+++ b/cactusford/calls/home.h
@@ -1,4 +1,5 @@
-// Where the record of a non-idempotent key lives, and since when. Pure.
+// Finds the home of an idempotency key: the instance that keeps the key's
+// at-most-once record. Has no side effects.
 #pragma once
 
 #include "cactusford/configuration/declaration.h"
@@ -11,10 +12,10 @@
 
 struct home
 {
-  // Empty when the map has no members.
+  // Empty when the home map has no members.
   std::string instance;
-  // Keys issued before this moment may have run at an earlier home.
-  std::uint64_t tenure_ms = 0;
+  // Keys issued before this time may have run at an earlier home.
+  std::uint64_t owned_since_ms = 0;
 
   friend bool operator==(const home&, const home&) = default;
 };
--- a/cactusford/calls/record-test.cc
+++ b/cactusford/calls/record-test.cc
@@ -13,179 +13,186 @@
 
 namespace {
 
-constexpr std::uint64_t start = 1'000'000;
+constexpr std::uint64_t owned_since = 1'000'000;
 
-record
-fresh()
+idempotency_record
+make_record()
 {
-  record r;
-  r.limits = { 3, 4096, 60000, 100 };
-  r.tenure_ms = start;
-  return r;
+  idempotency_record record;
+  record.limits = { 3, 4096, 60000, 100 };
+  record.owned_since_ms = owned_since;
+  return record;
 }
 
-kept_answer_ptr
+stored_answer_ptr
 answer(const char* body)
 {
-  return std::make_shared<const kept_answer>(
-    kept_answer{ 200, "text/plain", body });
+  return std::make_shared<const stored_answer>(
+    stored_answer{ 200, "text/plain", body });
 }
 
 } // namespace
 
-// A booking under key k1 is sent, and its answer is lost on the way. The
-// caller sends it again through another entry. It must not run again, and the
-// caller must get the first run's answer, byte for byte.
+// A booking with key k1 is sent and its answer is lost. The caller repeats it
+// through another entry. The booking must not run again, and the caller must
+// get the first run's answer, byte for byte.
 Test(record, runs_a_key_at_most_once)
 {
-  auto r = fresh();
-  const auto now = start + 1000;
-  cr_assert(admit(r, { "k1", now, 7 }, now).what == admission::run);
-  SECTION("while it runs, a repeat waits")
+  auto record = make_record();
+  const auto now = owned_since + 1000;
+  cr_assert(admit(record, { "k1", now, 7 }, now).outcome == admit_outcome::run);
+  SECTION("a repeat of a running call waits")
   {
-    cr_assert(admit(r, { "k1", now, 7 }, now + 5).what == admission::running);
+    cr_assert(admit(record, { "k1", now, 7 }, now + 5).outcome ==
+              admit_outcome::running);
   }
-  SECTION("once it has run, a repeat gets the kept answer")
+  SECTION("a repeat of a completed call gets the stored answer")
   {
-    answered(r, "k1", answer("seat 4"));
-    const auto again = admit(r, { "k1", now, 7 }, now + 10);
-    cr_assert(again.what == admission::answered);
+    store_answer(record, "k1", answer("seat 4"));
+    const auto again = admit(record, { "k1", now, 7 }, now + 10);
+    cr_assert(again.outcome == admit_outcome::answered);
     cr_assert(again.answer->body == "seat 4");
   }
-  SECTION("other bytes under the same key are refused")
+  SECTION("a different request with the same key is refused")
   {
-    const auto d = admit(r, { "k1", now, 8 }, now + 10);
-    cr_assert(d.what == admission::refused);
-    cr_assert(d.why.kind == error_kind::bad_request);
+    const auto d = admit(record, { "k1", now, 8 }, now + 10);
+    cr_assert(d.outcome == admit_outcome::refused);
+    cr_assert(d.error.kind == error_kind::bad_request);
   }
-  SECTION("a lost answer stays unknown for ever")
+  SECTION("a call whose answer was lost stays unknown")
   {
-    admit(r, { "k2", now, 1 }, now);
-    failed(r, "k2");
-    cr_assert(admit(r, { "k2", now, 1 }, now + 10).what == admission::unknown);
+    admit(record, { "k2", now, 1 }, now);
+    mark_failed(record, "k2");
+    cr_assert(admit(record, { "k2", now, 1 }, now + 10).outcome ==
+              admit_outcome::unknown);
   }
   SECTION("a withdrawn call never ran, so its repeat may")
   {
-    admit(r, { "k3", now, 1 }, now);
-    withdraw(r, "k3");
-    cr_assert(admit(r, { "k3", now, 1 }, now + 10).what == admission::run);
+    admit(record, { "k3", now, 1 }, now);
+    withdraw(record, "k3");
+    cr_assert(admit(record, { "k3", now, 1 }, now + 10).outcome ==
+              admit_outcome::run);
   }
 }
 
-// The sidecar crashed and came back with an empty record. A key that was
-// issued before its start may have run under the earlier process, so the only
-// true answer is "unknown". The caller's clock may be ahead by the skew.
-Test(record, does_not_run_keys_of_an_earlier_tenure)
+// The sidecar crashed and restarted with an empty record. A key issued before
+// the restart may have run under the earlier incarnation, so the only correct
+// answer is "unknown". The caller's clock may be ahead by the skew.
+Test(record, does_not_run_keys_issued_before_its_ownership)
 {
-  auto r = fresh();
-  const auto now = start + 5000;
-  cr_assert(admit(r, { "old", start - 1, 1 }, now).what == admission::unknown);
-  cr_assert(admit(r, { "skew", start + 99, 1 }, now).what ==
-            admission::unknown);
-  cr_assert(admit(r, { "new", start + 100, 1 }, now).what == admission::run);
+  auto record = make_record();
+  const auto now = owned_since + 5000;
+  cr_assert(admit(record, { "old", owned_since - 1, 1 }, now).outcome ==
+            admit_outcome::unknown);
+  cr_assert(admit(record, { "skew", owned_since + 99, 1 }, now).outcome ==
+            admit_outcome::unknown);
+  cr_assert(admit(record, { "new", owned_since + 100, 1 }, now).outcome ==
+            admit_outcome::run);
 }
 
-Test(record, refuses_rather_than_forgets)
+Test(record, refuses_new_keys_rather_than_evicting)
 {
-  auto r = fresh();
-  const auto now = start + 1000;
+  auto record = make_record();
+  const auto now = owned_since + 1000;
   for (const auto* key : { "a", "b", "c" }) {
-    cr_assert(admit(r, { key, now, 1 }, now).what == admission::run);
-    answered(r, key, answer("x"));
+    cr_assert(admit(record, { key, now, 1 }, now).outcome ==
+              admit_outcome::run);
+    store_answer(record, key, answer("x"));
   }
   SECTION("a full record refuses new keys as not run")
   {
-    const auto d = admit(r, { "d", now, 1 }, now);
-    cr_assert(d.why.kind == error_kind::record_full);
-    cr_assert(is_not_run(d.why.kind));
-    cr_assert_gt(d.why.retry_after_ms, 0);
+    const auto d = admit(record, { "d", now, 1 }, now);
+    cr_assert(d.error.kind == error_kind::record_full);
+    cr_assert(is_not_run(d.error.kind));
+    cr_assert_gt(d.error.retry_after_ms, 0);
   }
-  SECTION("an entry goes only when its key is refused by age")
+  SECTION("an entry expires only once its key is refused by age")
   {
     const auto later = now + 60001;
-    expire(r, later);
-    cr_assert_eq(r.entries.size(), 0);
-    cr_assert(admit(r, { "a", now, 1 }, later).what == admission::unknown);
+    expire(record, later);
+    cr_assert_eq(record.entries.size(), 0);
+    cr_assert(admit(record, { "a", now, 1 }, later).outcome ==
+              admit_outcome::unknown);
   }
 }
 
-// Any order of calls, answers, losses, repeats and passing time: no key runs
-// twice, and the count of bytes never drifts.
+// Under any order of calls, answers, lost answers, repeats and passing time, no
+// key runs twice and the byte count stays correct.
 Test(record, property_no_key_runs_twice)
 {
   const bool ok = rc::check("no key runs twice", [] {
-    auto r = fresh();
-    std::uint64_t now = start + 200;
+    auto record = make_record();
+    std::uint64_t now = owned_since + 200;
     std::map<std::string, int> runs;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
       rc::gen::pair(rc::gen::inRange(0, 5), rc::gen::inRange(0, 6)));
     std::map<std::string, std::uint64_t> issued;
-    for (const auto& [what, k] : steps) {
+    for (const auto& [action, k] : steps) {
       const auto key = std::to_string(k);
       issued.emplace(key, now);
-      if (what <= 1) {
-        const auto d = admit(r, { key, issued[key], 1 }, now);
-        runs[key] += d.what == admission::run ? 1 : 0;
-      } else if (what == 2 && r.entries.contains(key)) {
-        answered(r, key, answer("y"));
-      } else if (what == 3 && r.entries.contains(key)) {
-        failed(r, key);
+      if (action <= 1) {
+        const auto d = admit(record, { key, issued[key], 1 }, now);
+        runs[key] += d.outcome == admit_outcome::run ? 1 : 0;
+      } else if (action == 2 && record.entries.contains(key)) {
+        store_answer(record, key, answer("y"));
+      } else if (action == 3 && record.entries.contains(key)) {
+        mark_failed(record, key);
       } else {
         now += 7000;
       }
       RC_ASSERT(runs[key] <= 1);
-      RC_ASSERT(r.entries.size() <= r.limits.max_entries);
+      RC_ASSERT(record.entries.size() <= record.limits.max_entries);
     }
-    if (r.entries.empty()) {
-      RC_ASSERT(r.bytes == 0U);
+    if (record.entries.empty()) {
+      RC_ASSERT(record.bytes == 0U);
     }
   });
   cr_assert(ok);
 }
 
-// A service of 200 backend servers: its homes are few, and one that leaves is
-// replaced by a spare.
+// A service of 200 backend servers has a limited number of homes, and a home
+// that leaves is replaced by a spare.
 Test(home, a_large_service_has_few_homes)
 {
   plan_input in;
   for (int i = 0; i < 200; ++i) {
     in.live["server-" + std::to_string(i)] = 1;
   }
-  in.held = plan_homes(in);
-  cr_assert_eq(in.held.members.size(), configuration::max_home_members);
-  in.live.erase(in.held.members.front().instance);
+  in.current = plan_homes(in);
+  cr_assert_eq(in.current.members.size(), configuration::max_home_members);
+  in.live.erase(in.current.members.front().instance);
   const auto next = plan_homes(in);
   cr_assert_eq(next.members.size(), configuration::max_home_members);
   cr_assert_eq(next.former.size(), 1);
 }
 
-// One of three homes is lost. The keys that it held move, and only they may
-// have run there: they get a later tenure, all others keep theirs.
-Test(home, only_moved_keys_get_a_later_tenure)
+// One of three homes is lost. Its keys move, and only these may have run there:
+// they get a later ownership time, all other keys keep theirs.
+Test(home, only_moved_keys_get_a_later_ownership_time)
 {
   plan_input in;
   in.live = { { "a", 1 }, { "b", 1 }, { "c", 1 } };
-  in.now_ms = start;
+  in.now_ms = owned_since;
   in.lease_ms = 500;
-  in.window_ms = 60000;
-  in.held = plan_homes(in);
-  cr_assert_eq(in.held.members.size(), 3);
-  auto after = in;
-  after.live = { { "a", 1 }, { "c", 1 } };
-  after.now_ms = start + 1000;
-  const auto next = plan_homes(after);
-  int moved = 0;
+  in.key_window_ms = 60000;
+  in.current = plan_homes(in);
+  cr_assert_eq(in.current.members.size(), 3);
+  auto after_loss = in;
+  after_loss.live = { { "a", 1 }, { "c", 1 } };
+  after_loss.now_ms = owned_since + 1000;
+  const auto next = plan_homes(after_loss);
+  int moved_keys = 0;
   for (int i = 0; i < 200; ++i) {
     const auto key = std::to_string(i);
-    const auto before = home_of(in.held, key);
+    const auto before = home_of(in.current, key);
     const auto now = home_of(next, key);
     if (before.instance == "b") {
-      ++moved;
-      cr_assert_eq(now.tenure_ms, start + 1500);
+      ++moved_keys;
+      cr_assert_eq(now.owned_since_ms, owned_since + 1500);
     } else {
       cr_assert(now.instance == before.instance);
-      cr_assert_eq(now.tenure_ms, 0);
+      cr_assert_eq(now.owned_since_ms, 0);
     }
   }
-  cr_assert_gt(moved, 20);
+  cr_assert_gt(moved_keys, 20);
 }
--- a/cactusford/calls/record.cc
+++ b/cactusford/calls/record.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// What an entry costs besides its key and body.
+// Estimated memory per entry besides its key and body.
 constexpr std::size_t entry_overhead = 160;
 
 std::size_t
@@ -16,105 +16,111 @@
   return entry_overhead + 2 * key.size() + body;
 }
 
-decision
-refuse(admission what, error_kind kind, std::string detail, std::uint32_t retry)
+admit_result
+refuse(admit_outcome outcome,
+       error_kind kind,
+       std::string detail,
+       std::uint32_t retry)
 {
-  return { what, { kind, std::move(detail), retry }, nullptr };
+  return { outcome, { kind, std::move(detail), retry }, nullptr };
 }
 
-decision
-repeat_of(const record_entry& e, const keyed_call& call)
+admit_result
+resolve_repeat(const record_entry& e, const keyed_call& call)
 {
   if (e.fingerprint != call.fingerprint) {
-    return refuse(admission::refused,
+    return refuse(admit_outcome::refused,
                   error_kind::bad_request,
                   "idempotency key was used with another request",
                   0);
   }
   switch (e.state) {
     case entry_state::running:
-      return { admission::running, {}, nullptr };
+      return { admit_outcome::running, {}, nullptr };
     case entry_state::answered:
-      return { admission::answered, {}, e.answer };
+      return { admit_outcome::answered, {}, e.answer };
     case entry_state::failed:
       break;
   }
-  return refuse(admission::unknown,
+  return refuse(admit_outcome::unknown,
                 error_kind::outcome_unknown,
                 "the call began and its answer was lost",
                 0);
 }
 
-// A key outside these bounds cannot be told from one that ran elsewhere.
-decision
-judge_age(const record& r, const keyed_call& call, std::uint64_t now_ms)
+// A key outside these bounds cannot be distinguished from one that ran
+// elsewhere.
+admit_result
+check_age(const idempotency_record& record,
+          const keyed_call& call,
+          std::uint64_t now_ms)
 {
-  const auto skew = r.limits.max_skew_ms;
+  const auto skew = record.limits.max_skew_ms;
   if (call.issued_ms > now_ms + skew) {
-    return refuse(admission::refused,
+    return refuse(admit_outcome::refused,
                   error_kind::bad_request,
                   "idempotency key is issued in the future",
                   0);
   }
-  const auto oldest = now_ms - std::min(now_ms, r.limits.window_ms - skew);
+  const auto oldest = now_ms - std::min(now_ms, record.limits.window_ms - skew);
   if (call.issued_ms < oldest) {
-    return refuse(admission::unknown,
+    return refuse(admit_outcome::unknown,
                   error_kind::outcome_unknown,
                   "idempotency key is older than the record keeps",
                   0);
   }
-  // The caller's clock may run ahead by the skew, so that a key issued before
-  // the tenure can bear a time up to that much after it.
-  if (call.issued_ms < r.tenure_ms + skew) {
-    return refuse(admission::unknown,
+  // The caller's clock may run ahead by the skew, so a key issued before the
+  // ownership time can carry a timestamp up to that much later.
+  if (call.issued_ms < record.owned_since_ms + skew) {
+    return refuse(admit_outcome::unknown,
                   error_kind::outcome_unknown,
                   "the key was issued before this home took over",
                   0);
   }
-  return { admission::run, {}, nullptr };
+  return { admit_outcome::run, {}, nullptr };
 }
 
 bool
-is_full(const record& r)
+is_full(const idempotency_record& record)
 {
-  return r.entries.size() >= r.limits.max_entries ||
-         r.bytes >= r.limits.max_bytes;
+  return record.entries.size() >= record.limits.max_entries ||
+         record.bytes >= record.limits.max_bytes;
 }
 
 void
-settle(record& r,
-       const std::string& key,
-       entry_state state,
-       kept_answer_ptr answer)
+set_outcome(idempotency_record& record,
+            const std::string& key,
+            entry_state state,
+            stored_answer_ptr answer)
 {
-  const auto found = r.entries.find(key);
-  if (found == r.entries.end()) {
+  const auto found = record.entries.find(key);
+  if (found == record.entries.end()) {
     return;
   }
-  r.bytes -= size_of(key, found->second);
+  record.bytes -= size_of(key, found->second);
   found->second.state = state;
   found->second.answer = std::move(answer);
-  r.bytes += size_of(key, found->second);
+  record.bytes += size_of(key, found->second);
 }
 
 } // namespace
 
-decision
-admit(record& r, const keyed_call& call, std::uint64_t now_ms)
+admit_result
+admit(idempotency_record& record, const keyed_call& call, std::uint64_t now_ms)
 {
-  expire(r, now_ms);
-  const auto found = r.entries.find(call.key);
-  if (found != r.entries.end()) {
-    return repeat_of(found->second, call);
+  expire(record, now_ms);
+  const auto found = record.entries.find(call.key);
+  if (found != record.entries.end()) {
+    return resolve_repeat(found->second, call);
   }
-  const auto aged = judge_age(r, call, now_ms);
-  if (aged.what != admission::run) {
-    return aged;
+  const auto age_check = check_age(record, call, now_ms);
+  if (age_check.outcome != admit_outcome::run) {
+    return age_check;
   }
-  // Forgetting an entry early would let its repeat run again, a doubled
-  // booking. New calls are refused instead; they truly do not run.
-  if (is_full(r)) {
-    return refuse(admission::refused,
+  // Evicting an entry early would let its repeat run again and book twice. New
+  // calls are refused instead, and are truly not run.
+  if (is_full(record)) {
+    return refuse(admit_outcome::refused,
                   error_kind::record_full,
                   "the record of non-idempotent calls is full",
                   1000);
@@ -122,67 +128,72 @@
   record_entry e{
     entry_state::running, call.issued_ms, call.fingerprint, nullptr
   };
-  r.bytes += size_of(call.key, e);
-  r.entries.emplace(call.key, std::move(e));
-  r.order.push_back(call.key);
-  return aged;
+  record.bytes += size_of(call.key, e);
+  record.entries.emplace(call.key, std::move(e));
+  record.order.push_back(call.key);
+  return age_check;
 }
 
 void
-answered(record& r, const std::string& key, kept_answer_ptr answer)
+store_answer(idempotency_record& record,
+             const std::string& key,
+             stored_answer_ptr answer)
 {
-  settle(r, key, entry_state::answered, std::move(answer));
+  set_outcome(record, key, entry_state::answered, std::move(answer));
 }
 
 void
-failed(record& r, const std::string& key)
+mark_failed(idempotency_record& record, const std::string& key)
 {
-  settle(r, key, entry_state::failed, nullptr);
+  set_outcome(record, key, entry_state::failed, nullptr);
 }
 
 void
-withdraw(record& r, const std::string& key)
+withdraw(idempotency_record& record, const std::string& key)
 {
-  const auto found = r.entries.find(key);
-  if (found != r.entries.end()) {
-    r.bytes -= size_of(key, found->second);
-    r.entries.erase(found);
+  const auto found = record.entries.find(key);
+  if (found != record.entries.end()) {
+    record.bytes -= size_of(key, found->second);
+    record.entries.erase(found);
   }
 }
 
 void
-import_key(record& r, const keyed_call& call, kept_answer_ptr answer)
+import_key(idempotency_record& record,
+           const keyed_call& call,
+           stored_answer_ptr answer)
 {
-  if (r.entries.contains(call.key)) {
+  if (record.entries.contains(call.key)) {
     return;
   }
   record_entry e{ answer ? entry_state::answered : entry_state::failed,
                   call.issued_ms,
                   call.fingerprint,
                   std::move(answer) };
-  r.bytes += size_of(call.key, e);
-  r.entries.emplace(call.key, std::move(e));
-  r.order.push_back(call.key);
+  record.bytes += size_of(call.key, e);
+  record.entries.emplace(call.key, std::move(e));
+  record.order.push_back(call.key);
 }
 
 void
-expire(record& r, std::uint64_t now_ms)
+expire(idempotency_record& record, std::uint64_t now_ms)
 {
-  // An entry stays until its key is refused by age, even when it came late.
-  while (!r.order.empty()) {
-    const auto found = r.entries.find(r.order.front());
-    if (found == r.entries.end()) {
-      r.order.pop_front();
+  // An entry stays until its key is refused by age, even when the call arrived
+  // long after the key was issued.
+  while (!record.order.empty()) {
+    const auto found = record.entries.find(record.order.front());
+    if (found == record.entries.end()) {
+      record.order.pop_front();
       continue;
     }
     const auto& e = found->second;
-    const bool young = e.issued_ms + r.limits.window_ms > now_ms;
-    if (young || e.state == entry_state::running) {
+    const bool is_in_window = e.issued_ms + record.limits.window_ms > now_ms;
+    if (is_in_window || e.state == entry_state::running) {
       return;
     }
-    r.bytes -= size_of(found->first, e);
-    r.entries.erase(found);
-    r.order.pop_front();
+    record.bytes -= size_of(found->first, e);
+    record.entries.erase(found);
+    record.order.pop_front();
   }
 }
 
--- a/cactusford/calls/record.h
+++ b/cactusford/calls/record.h
@@ -1,5 +1,5 @@
-// The at-most-once record of a home: what became of each idempotency key.
-// Pure; times are milliseconds since 1970. See docs/AT-MOST-ONCE.md.
+// The at-most-once record of a home: the state of each idempotency key. Has no
+// side effects; times are milliseconds since 1970. See docs/AT-MOST-ONCE.md.
 #pragma once
 
 #include "cactusford/error.h"
@@ -12,48 +12,48 @@
 
 namespace cactusford::calls {
 
-struct kept_answer
+struct stored_answer
 {
   std::uint32_t status = 0;
   std::string content_type;
   std::string body;
 
-  friend bool operator==(const kept_answer&, const kept_answer&) = default;
+  friend bool operator==(const stored_answer&, const stored_answer&) = default;
 };
 
-using kept_answer_ptr = std::shared_ptr<const kept_answer>;
+using stored_answer_ptr = std::shared_ptr<const stored_answer>;
 
 struct record_limits
 {
   std::size_t max_entries = 100000;
   std::size_t max_bytes = 64U << 20;
-  // How long an entry stays; an older key is refused by its issue time.
+  // How long an entry is kept; older keys are refused by their issue time.
   std::uint64_t window_ms = 600000;
-  // Callers' clocks are no further off than this.
+  // Maximum error of the callers' clocks.
   std::uint64_t max_skew_ms = 2000;
 
   friend bool operator==(const record_limits&, const record_limits&) = default;
 };
 
-enum class admission
+enum class admit_outcome
 {
-  // First sight: run it. The entry is in the record.
+  // The key is new: run the call. It has been added to the record.
   run,
-  // It runs now: wait for its answer.
+  // The call is running: wait for its answer.
   running,
-  // It ran: hand out the kept answer.
+  // The call has completed: send the stored answer.
   answered,
-  // It did not run now, and says when to come back.
+  // The call was not run; the error says when to retry.
   refused,
-  // It may have run, here or at an earlier home.
+  // The call may have run, here or at an earlier home.
   unknown,
 };
 
-struct decision
+struct admit_result
 {
-  admission what = admission::unknown;
-  failure why;
-  kept_answer_ptr answer;
+  admit_outcome outcome = admit_outcome::unknown;
+  failure error;
+  stored_answer_ptr answer;
 };
 
 enum class entry_state
@@ -67,18 +67,18 @@
 {
   entry_state state = entry_state::running;
   std::uint64_t issued_ms = 0;
-  // Other bytes under the same key are a caller's mistake.
+  // Detects callers that reuse a key for a different request.
   std::uint64_t fingerprint = 0;
-  kept_answer_ptr answer;
+  stored_answer_ptr answer;
 };
 
-struct record
+struct idempotency_record
 {
   record_limits limits;
-  // Keys issued before this moment may have run at an earlier home.
-  std::uint64_t tenure_ms = 0;
+  // Keys issued before this time may have run at an earlier home.
+  std::uint64_t owned_since_ms = 0;
   std::unordered_map<std::string, record_entry> entries;
-  // In the order of arrival, for expiry.
+  // Keys in order of arrival, for expiry.
   std::deque<std::string> order;
   std::size_t bytes = 0;
 };
@@ -92,29 +92,36 @@
   friend bool operator==(const keyed_call&, const keyed_call&) = default;
 };
 
-decision
-admit(record& r, const keyed_call& call, std::uint64_t now_ms);
+admit_result
+admit(idempotency_record& record, const keyed_call& call, std::uint64_t now_ms);
 
-// The call that `admit` let run has answered.
+// Stores the answer of a call that `admit` let run.
 void
-answered(record& r, const std::string& key, kept_answer_ptr answer);
+store_answer(idempotency_record& record,
+             const std::string& key,
+             stored_answer_ptr answer);
 
-// It began and its answer was lost: every repeat is told "unknown".
+// The call began and its answer was lost: every repeat gets `unknown`.
 void
-failed(record& r, const std::string& key);
+mark_failed(idempotency_record& record, const std::string& key);
 
-// It was admitted but never began, so that a repeat may run. An attempt comes
-// over one stream only: no late copy of it can arrive behind the refusal.
+// Removes a call that was admitted but never began, so that a repeat may run.
+// Each attempt uses a single stream, so no delayed copy of it can arrive after
+// the refusal.
 void
-withdraw(record& r, const std::string& key);
+withdraw(idempotency_record& record, const std::string& key);
 
-// A key that an earlier home ran, with its answer or of unknown outcome. It is
-// taken even by a full record: the alternative is to forget that it ran.
+// Adds a key that ran at an earlier home, with its answer or, without one, as
+// of unknown outcome. It is added even to a full record, as the home would
+// otherwise forget that the key ran.
 void
-import_key(record& r, const keyed_call& call, kept_answer_ptr answer);
+import_key(idempotency_record& record,
+           const keyed_call& call,
+           stored_answer_ptr answer);
 
-// Entries whose window has passed. A key is refused by age from then on.
+// Removes entries whose window has passed. From then on their keys are refused
+// by age.
 void
-expire(record& r, std::uint64_t now_ms);
+expire(idempotency_record& record, std::uint64_t now_ms);
 
 } // namespace cactusford::calls
--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -255,11 +255,11 @@
   if (f.has_load()) {
     note_load(*c, f.load());
   }
-  const auto judged =
-    calls::accept(c->whole, { f.request_id(), f.attempt(), f.sequence() });
-  if (judged == calls::verdict::broken) {
+  const auto judged = calls::accept_frame(
+    c->whole, { f.request_id(), f.attempt(), f.sequence() });
+  if (judged == calls::frame_result::corrupt) {
     on_cut(c, link::link_error::protocol);
-  } else if (judged == calls::verdict::take) {
+  } else if (judged == calls::frame_result::accepted) {
     on_content(c, f);
   }
 }
@@ -286,7 +286,7 @@
       break;
     case calls::call_frame::kEnd:
       if (calls::accept_end(c->whole, f.end().frames(), f.end().checksum()) ==
-          calls::verdict::take) {
+          calls::frame_result::accepted) {
         finish(c, {});
       } else {
         on_cut(c, link::link_error::protocol);
--- a/cactusford/sidecar/gate.cc
+++ b/cactusford/sidecar/call_handler.cc
@@ -1,4 +1,4 @@
-#include "cactusford/sidecar/gate.h"
+#include "cactusford/sidecar/call_handler.h"
 
 #include "cactusford/timeline/event.h"
 
@@ -12,9 +12,9 @@
 
 using calls::call_request;
 
-constexpr double average_weight = 0.1;
+constexpr double smoothing_factor = 0.1;
 constexpr std::uint32_t leaving_retry_ms = 50;
-constexpr std::uint32_t stale_retry_ms = 200;
+constexpr std::uint32_t not_ready_retry_ms = 200;
 
 const char*
 class_name(calls::call_class c)
@@ -40,13 +40,13 @@
 }
 
 void
-average(double& value, double sample)
+update_average(double& value, double sample)
 {
-  value = value == 0 ? sample : value + average_weight * (sample - value);
+  value = value == 0 ? sample : value + smoothing_factor * (sample - value);
 }
 
 timeline::event
-event_of(std::string_view name, const call_request& r)
+call_event(std::string_view name, const call_request& r)
 {
   return timeline::event{ name }
     .with("request", r.request_id())
@@ -56,35 +56,35 @@
 
 } // namespace
 
-gate::gate(process::daemon& d,
-           const settings::sidecar_settings& s,
-           const weight_keeper& weights)
+call_handler::call_handler(process::daemon& d,
+                           const settings::sidecar_settings& s,
+                           const weight_manager& weights)
   : daemon_{ d }
   , settings_{ s }
   , weights_{ weights }
   , backend_{ s.backend }
-  , guard_{ d, s, record_, [this](const std::string& key) {
-             return keyed_.contains(key);
-           } }
+  , home_{ d, s, record_, [this](const std::string& key) {
+            return calls_by_key_.contains(key);
+          } }
 {
   queue_.limit = s.max_queued;
   record_.limits = { s.record_limit,
                      s.record_bytes,
                      s.record_window_ms,
                      s.process.max_clock_skew_ms };
-  // The record of an earlier process is gone: keys issued before this start
+  // The record of an earlier incarnation is lost: keys issued before this start
   // may have run under it.
-  record_.tenure_ms = d.incarnation;
+  record_.owned_since_ms = d.incarnation;
 }
 
 void
-gate::accept(const link::stream_ptr& s)
+call_handler::accept(const link::stream_ptr& s)
 {
   s->on_message = [this, s](std::string_view m) { on_request(s, m); };
 }
 
 void
-gate::on_request(const link::stream_ptr& s, std::string_view message)
+call_handler::on_request(const link::stream_ptr& s, std::string_view message)
 {
   s->on_message = nullptr;
   call_request r;
@@ -96,8 +96,8 @@
   to.stream = s;
   to.request_id = r.request_id();
   to.attempt = r.attempt();
-  if (const auto why = judge(r)) {
-    refuse(to, why);
+  if (const auto error = check_request(r)) {
+    refuse(to, error);
     return;
   }
   if (!r.idempotency_key().empty() && !admit_keyed(r, to)) {
@@ -107,7 +107,7 @@
 }
 
 failure
-gate::judge(const call_request& r) const
+call_handler::check_request(const call_request& r) const
 {
   if (leaving_) {
     return { error_kind::leaving,
@@ -117,26 +117,26 @@
   if (!daemon_.configuration.is_ready()) {
     return { error_kind::not_ready,
              settings_.process.instance,
-             stale_retry_ms };
+             not_ready_retry_ms };
   }
   if (r.pool() != settings_.serves) {
     return { error_kind::not_found,
              "this backend server serves " + settings_.serves };
   }
-  const bool wants_engine = r.has_completion();
+  const bool is_completion = r.has_completion();
   const bool is_engine = settings_.kind == settings::backend_kind::engine;
-  if (wants_engine != is_engine || (!r.has_service() && !wants_engine)) {
+  if (is_completion != is_engine || (!r.has_service() && !is_completion)) {
     return { error_kind::bad_request, "wrong kind of work for this pool" };
   }
-  const auto least = r.completion().min_version();
-  if (wants_engine && least > 0 &&
-      weights_.serving(r.completion().model()) < least) {
+  const auto min_version = r.completion().min_version();
+  if (is_completion && min_version > 0 &&
+      weights_.serving(r.completion().model()) < min_version) {
     return { error_kind::stale_version,
-             "weights " + std::to_string(least) + " are not active yet",
-             stale_retry_ms };
+             "weights " + std::to_string(min_version) + " are not active yet",
+             not_ready_retry_ms };
   }
-  // A call that could not end in time only takes capacity from those that
-  // can: refused now, it truly does not run.
+  // A call that cannot complete in time would only take capacity from calls
+  // that can. Refused now, it is certain not to run.
   const auto wait = expected_wait_ms(r);
   if (r.call_class() != calls::rollout && wait > r.deadline_ms()) {
     return { error_kind::overloaded,
@@ -147,50 +147,51 @@
 }
 
 std::uint64_t
-gate::expected_wait_ms(const call_request& r) const
+call_handler::expected_wait_ms(const call_request& r) const
 {
   if (r.call_class() == calls::rollout ||
       running_callers_ < settings_.max_running) {
     return 0;
   }
-  const auto ahead = static_cast<double>(queue_.callers.size() + 1);
-  return static_cast<std::uint64_t>(ahead * call_ms_ / settings_.max_running);
+  const auto calls_ahead = static_cast<double>(queue_.callers.size() + 1);
+  return static_cast<std::uint64_t>(calls_ahead * call_ms_ /
+                                    settings_.max_running);
 }
 
 bool
-gate::admit_keyed(const call_request& r, receiver& to)
+call_handler::admit_keyed(const call_request& r, receiver& to)
 {
-  // A key belongs to one home only. Running it on another backend server
-  // would pass by the record and could run it twice.
-  if (const auto why = guard_.judge(r.idempotency_key())) {
-    refuse(to, why);
+  // A key belongs to one home only. Running it on another backend server would
+  // bypass the record and could run it twice.
+  if (const auto error = home_.check_key(r.idempotency_key())) {
+    refuse(to, error);
     return false;
   }
-  const auto decided =
+  const auto admitted =
     calls::admit(record_,
                  { r.idempotency_key(), r.key_issued_ms(), fingerprint_of(r) },
                  timeline::wall_ms());
-  switch (decided.what) {
-    case calls::admission::run:
+  switch (admitted.outcome) {
+    case calls::admit_outcome::run:
       return true;
-    case calls::admission::running: {
-      const auto found = keyed_.find(r.idempotency_key());
+    case calls::admit_outcome::running: {
+      const auto found = calls_by_key_.find(r.idempotency_key());
       calls_.at(found->second)->receivers.push_back(std::move(to));
       return false;
     }
-    case calls::admission::answered:
-      send_answer(to, *decided.answer, true);
+    case calls::admit_outcome::answered:
+      send_answer(to, *admitted.answer, true);
       return false;
-    case calls::admission::refused:
-    case calls::admission::unknown:
-      refuse(to, decided.why);
+    case calls::admit_outcome::refused:
+    case calls::admit_outcome::unknown:
+      refuse(to, admitted.error);
       return false;
   }
   return false;
 }
 
 void
-gate::enqueue(call_request r, receiver to)
+call_handler::enqueue(call_request r, receiver to)
 {
   const auto id = next_id_++;
   admission::waiting_call waiting;
@@ -214,7 +215,7 @@
   c->id = id;
   c->deadline = process::steady_ms() + r.deadline_ms();
   if (!r.idempotency_key().empty()) {
-    keyed_[r.idempotency_key()] = id;
+    calls_by_key_[r.idempotency_key()] = id;
   }
   to.stream->on_close = [this, raw = to.stream.get(), id](std::error_code) {
     on_closed(raw, id);
@@ -222,13 +223,13 @@
   c->request = std::move(r);
   c->receivers.push_back(std::move(to));
   calls_[id] = std::move(c);
-  pump();
+  start_waiting_calls();
 }
 
-// Callers' requests may use every slot although rollouts hold some: the
-// engine's priorities then hold the rollouts back.
+// Callers' requests may use all slots even while rollouts occupy some: the
+// engine's priorities then hold back the rollouts.
 void
-gate::pump()
+call_handler::start_waiting_calls()
 {
   while (running_callers_ < settings_.max_running) {
     const auto next = admission::pop_caller(queue_);
@@ -236,25 +237,25 @@
       break;
     }
     ++running_callers_;
-    begin(*calls_.at(next->id));
+    start_call(*calls_.at(next->id));
   }
   while (running_ < settings_.max_running) {
     const auto next = admission::pop_rollout(queue_);
     if (!next) {
       break;
     }
-    begin(*calls_.at(next->id));
+    start_call(*calls_.at(next->id));
   }
 }
 
 void
-gate::begin(call& c)
+call_handler::start_call(call& c)
 {
   ++running_;
   c.running = true;
-  c.begun = process::steady_ms();
+  c.started_ms = process::steady_ms();
   const auto& key = c.request.idempotency_key();
-  auto e = event_of("call_started", c.request);
+  auto e = call_event("call_started", c.request);
   if (!key.empty()) {
     e.with("key", key);
   }
@@ -272,7 +273,7 @@
 }
 
 void
-gate::run_completion(call& c)
+call_handler::run_completion(call& c)
 {
   const auto& work = c.request.completion();
   c.swap_epoch = weights_.swap_epoch(work.model());
@@ -301,7 +302,7 @@
 }
 
 void
-gate::run_service(call& c)
+call_handler::run_service(call& c)
 {
   const auto& work = c.request.service();
   const auto& key = c.request.idempotency_key();
@@ -319,33 +320,34 @@
                });
 }
 
-// Engines that name the version with each run are taken at their word. For
-// the others the version is the one read back, and only while no swap began
-// or ended since the call did: else nobody knows which weights spoke.
+// If the engine reports a weight version with each run of tokens, that version
+// is used. Otherwise it is the version last read from the engine, which is
+// valid only if no swap has begun or ended since the call started; else the
+// tokens cannot be attributed to a version.
 std::uint64_t
-gate::attribute(call& c, const engine::token_chunk& chunk)
+call_handler::version_of_chunk(call& c, const engine::token_chunk& chunk)
 {
   if (chunk.weight_version != 0) {
     return chunk.weight_version;
   }
   const auto& model = c.request.completion().model();
-  const bool steady = weights_.swap_epoch(model) == c.swap_epoch;
-  if (!steady || c.version == 0) {
-    c.misattributed = true;
+  const bool no_swap = weights_.swap_epoch(model) == c.swap_epoch;
+  if (!no_swap || c.version == 0) {
+    c.is_unattributable = true;
   }
   return c.version;
 }
 
 void
-gate::on_chunk(std::uint64_t id, const engine::token_chunk& chunk)
+call_handler::on_chunk(std::uint64_t id, const engine::token_chunk& chunk)
 {
   const auto found = calls_.find(id);
-  if (found == calls_.end() || found->second->stopped) {
+  if (found == calls_.end() || found->second->stop_reason) {
     return;
   }
   auto& c = *found->second;
-  const auto version = attribute(c, chunk);
-  if (c.misattributed && c.request.call_class() == calls::rollout) {
+  const auto version = version_of_chunk(c, chunk);
+  if (c.is_unattributable && c.request.call_class() == calls::rollout) {
     stop_call(c,
               { error_kind::stream_cut,
                 "the weights changed and the engine names no version" });
@@ -367,25 +369,29 @@
 }
 
 void
-gate::on_generation_end(std::uint64_t id, const engine::generation_end& end)
+call_handler::on_generation_end(std::uint64_t id,
+                                const engine::generation_end& end)
 {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
     return;
   }
   auto& c = *found->second;
-  const auto spent = static_cast<double>(process::steady_ms() - c.begun);
+  const auto elapsed_ms =
+    static_cast<double>(process::steady_ms() - c.started_ms);
   if (c.tokens > 0) {
-    average(token_us_, spent * 1000 / static_cast<double>(c.tokens));
+    update_average(token_us_,
+                   elapsed_ms * 1000 / static_cast<double>(c.tokens));
   }
   if (c.request.call_class() != calls::rollout) {
-    average(call_ms_, spent);
+    update_average(call_ms_, elapsed_ms);
   }
-  auto e = event_of("call_ended", c.request);
+  auto e = call_event("call_ended", c.request);
   e.with("tokens", c.tokens)
-    .with("error", name_of(c.stopped ? c.stopped.kind : end.error.kind));
+    .with("error",
+          name_of(c.stop_reason ? c.stop_reason.kind : end.error.kind));
   timeline::log(e);
-  if (!c.stopped) {
+  if (!c.stop_reason) {
     for (auto& to : c.receivers) {
       if (end.error) {
         refuse(to, end.error);
@@ -398,22 +404,24 @@
 }
 
 void
-gate::on_answer(std::uint64_t id, const result<engine::service_answer>& r)
+call_handler::on_answer(std::uint64_t id,
+                        const result<engine::service_answer>& r)
 {
   auto& c = *calls_.at(id);
   const auto& key = c.request.idempotency_key();
-  average(call_ms_, static_cast<double>(process::steady_ms() - c.begun));
+  update_average(call_ms_,
+                 static_cast<double>(process::steady_ms() - c.started_ms));
   timeline::log(
-    event_of("call_ended", c.request).with("error", name_of(r.error.kind)));
-  const auto answer = std::make_shared<const calls::kept_answer>(
-    calls::kept_answer{ r.value.status, r.value.content_type, r.value.body });
+    call_event("call_ended", c.request).with("error", name_of(r.error.kind)));
+  const auto answer = std::make_shared<const calls::stored_answer>(
+    calls::stored_answer{ r.value.status, r.value.content_type, r.value.body });
   if (!key.empty()) {
     if (r) {
-      calls::answered(record_, key, answer);
+      calls::store_answer(record_, key, answer);
     } else if (is_not_run(r.error.kind)) {
       calls::withdraw(record_, key);
     } else {
-      calls::failed(record_, key);
+      calls::mark_failed(record_, key);
     }
   }
   for (auto& to : c.receivers) {
@@ -426,10 +434,11 @@
   end_call(id);
 }
 
-// The entry went away or gave up. An idempotent call stops, since nobody waits
-// for it; one with a key goes on, since its repeat will ask for the answer.
+// The entry disconnected or gave up. An idempotent call is stopped, as no
+// receiver is left. A call with an idempotency key continues, as a repeat will
+// ask for its answer.
 void
-gate::on_closed(link::stream* s, std::uint64_t id)
+call_handler::on_closed(link::stream* s, std::uint64_t id)
 {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
@@ -446,12 +455,12 @@
 }
 
 void
-gate::stop_call(call& c, const failure& why)
+call_handler::stop_call(call& c, const failure& error)
 {
-  c.stopped = why;
+  c.stop_reason = error;
   *c.cancelled = true;
   for (auto& to : c.receivers) {
-    refuse(to, why);
+    refuse(to, error);
   }
   c.receivers.clear();
   if (!c.running && admission::remove(queue_, c.id)) {
@@ -463,7 +472,7 @@
 }
 
 void
-gate::end_call(std::uint64_t id)
+call_handler::end_call(std::uint64_t id)
 {
   const auto found = calls_.find(id);
   const auto& c = *found->second;
@@ -477,40 +486,40 @@
   }
   const auto& key = c.request.idempotency_key();
   if (!key.empty()) {
-    keyed_.erase(key);
+    calls_by_key_.erase(key);
   }
   calls_.erase(found);
-  pump();
+  start_waiting_calls();
 }
 
 void
-gate::tick()
+call_handler::tick()
 {
   const auto now = process::steady_ms();
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (const auto& [id, c] : calls_) {
     const bool service = c->request.has_service();
-    if (now >= c->deadline && !c->stopped && !(c->running && service)) {
-      late.push_back(id);
+    if (now >= c->deadline && !c->stop_reason && !(c->running && service)) {
+      expired.push_back(id);
     }
   }
-  for (const auto id : late) {
+  for (const auto id : expired) {
     auto& c = *calls_.at(id);
     const auto kind =
       c.running ? error_kind::stream_cut : error_kind::deadline_exceeded;
     stop_call(c, { kind, "the deadline has passed" });
   }
   calls::expire(record_, timeline::wall_ms());
-  guard_.tick();
+  home_.tick();
   daemon_.metrics.set("queued", static_cast<double>(admission::size(queue_)));
   daemon_.metrics.set("running", running_);
 }
 
 void
-gate::leave()
+call_handler::leave()
 {
   leaving_ = true;
-  guard_.leave();
+  home_.leave();
   for (auto& [id, c] : calls_) {
     for (auto& to : c->receivers) {
       calls::call_frame frame;
@@ -521,7 +530,7 @@
 }
 
 void
-gate::send_frame(receiver& to, calls::call_frame& frame, bool with_load)
+call_handler::send_frame(receiver& to, calls::call_frame& frame, bool with_load)
 {
   frame.set_request_id(to.request_id);
   frame.set_attempt(to.attempt);
@@ -538,7 +547,7 @@
 }
 
 void
-gate::send_end(receiver& to, std::string_view reason)
+call_handler::send_end(receiver& to, std::string_view reason)
 {
   calls::call_frame frame;
   auto& end = *frame.mutable_end();
@@ -550,34 +559,36 @@
 }
 
 void
-gate::send_answer(receiver& to, const calls::kept_answer& a, bool repeated)
+call_handler::send_answer(receiver& to,
+                          const calls::stored_answer& a,
+                          bool is_repeat)
 {
   calls::call_frame frame;
   auto& answer = *frame.mutable_answer();
   answer.set_status(a.status);
   answer.set_content_type(a.content_type);
   answer.set_body(a.body);
-  answer.set_repeated(repeated);
+  answer.set_repeated(is_repeat);
   to.sum.add(a.body);
   send_frame(to, frame, false);
   send_end(to, "answered");
 }
 
 void
-gate::refuse(receiver& to, const failure& why)
+call_handler::refuse(receiver& to, const failure& error)
 {
   timeline::log(timeline::event{ "call_refused" }
                   .with("request", to.request_id)
                   .with("attempt", to.attempt)
-                  .with("error", name_of(why.kind))
-                  .with("detail", why.detail));
+                  .with("error", name_of(error.kind))
+                  .with("detail", error.detail));
   daemon_.metrics.add("refusals_total",
-                      { { "kind", std::string{ name_of(why.kind) } } });
+                      { { "kind", std::string{ name_of(error.kind) } } });
   calls::call_frame frame;
   auto& refusal = *frame.mutable_refusal();
-  refusal.set_kind(std::string{ name_of(why.kind) });
-  refusal.set_message(why.detail);
-  refusal.set_retry_after_ms(why.retry_after_ms);
+  refusal.set_kind(std::string{ name_of(error.kind) });
+  refusal.set_message(error.detail);
+  refusal.set_retry_after_ms(error.retry_after_ms);
   send_frame(to, frame, true);
   to.stream->finish();
 }
--- a/cactusford/sidecar/sidecar.cc
+++ b/cactusford/sidecar/sidecar.cc
@@ -1,7 +1,7 @@
 #include "cactusford/sidecar/sidecar.h"
 
-#include "cactusford/sidecar/gate.h"
-#include "cactusford/sidecar/weight_keeper.h"
+#include "cactusford/sidecar/call_handler.h"
+#include "cactusford/sidecar/weight_manager.h"
 
 #include "cactusford/process/daemon.h"
 #include "cactusford/timeline/event.h"
@@ -14,35 +14,38 @@
 
 constexpr std::size_t spare_workers = 4;
 constexpr std::uint64_t tick_ms = 20;
-// A leaving sidecar goes on refusing for this long, so that entries which
-// have not heard of it yet get "not run" and not a dead port.
-constexpr std::uint64_t refuse_ms = 1000;
-// How long it waits for the new homes of its keys. They cannot come while the
-// platform is down; its keys are then of unknown outcome, never run twice.
-constexpr std::uint64_t handover_ms = 5000;
+// A leaving sidecar keeps refusing calls for this long, so that entries that do
+// not know yet get "not run" rather than a closed port.
+constexpr std::uint64_t refuse_period_ms = 1000;
+// How long a leaving sidecar waits for the new homes to take over its keys.
+// There are no new homes while the platform is down; the keys then have an
+// unknown outcome and are never run twice.
+constexpr std::uint64_t handover_wait_ms = 5000;
 
-// Ticks the gate and the weight keeper, and ends the process when the last
-// call has.
+// Ticks the call handler and the weight manager, and stops the process once the
+// last call has ended.
 class runner
 {
 public:
-  runner(process::daemon& d, gate& g, weight_keeper& w)
+  runner(process::daemon& d, call_handler& handler, weight_manager& weights)
     : daemon_{ d }
-    , gate_{ g }
-    , weights_{ w }
+    , handler_{ handler }
+    , weights_{ weights }
   {
   }
 
   void tick()
   {
-    gate_.tick();
+    handler_.tick();
     weights_.tick();
     const auto now = process::steady_ms();
-    const auto left = leaving_since_ != 0 ? now - leaving_since_ : 0;
-    const bool waited = left >= refuse_ms + handover_ms;
-    const bool idle = gate_.is_idle() || (!gate_.has_calls() && waited);
-    if ((idle && left >= refuse_ms) ||
-        left > daemon_.settings.drain_limit_ms + refuse_ms) {
+    const auto leaving_for_ms = leaving_since_ != 0 ? now - leaving_since_ : 0;
+    const bool handover_timed_out =
+      leaving_for_ms >= refuse_period_ms + handover_wait_ms;
+    const bool idle =
+      handler_.is_idle() || (!handler_.has_calls() && handover_timed_out);
+    if ((idle && leaving_for_ms >= refuse_period_ms) ||
+        leaving_for_ms > daemon_.settings.drain_limit_ms + refuse_period_ms) {
       daemon_.links.stop_listening();
       daemon_.after(tick_ms * 5, [this] { daemon_.stop(); });
       return;
@@ -53,13 +56,13 @@
   void leave()
   {
     leaving_since_ = process::steady_ms();
-    gate_.leave();
+    handler_.leave();
   }
 
 private:
   process::daemon& daemon_;
-  gate& gate_;
-  weight_keeper& weights_;
+  call_handler& handler_;
+  weight_manager& weights_;
   std::uint64_t leaving_since_ = 0;
 };
 
@@ -69,31 +72,31 @@
 run(const settings::sidecar_settings& s)
 {
   timeline::open_log(s.process.log, s.process.instance);
-  // Orders and reads of the engine have workers of their own: calls that fill
-  // all others must not hold up a swap.
+  // Orders and version reads of the engine have their own workers, so that
+  // calls occupying all others cannot delay a swap.
   process::daemon daemon{ s.process, 2UL * s.max_running + spare_workers };
-  weight_keeper weights{ daemon, s };
-  gate calls{ daemon, s, weights };
-  const auto wrong = daemon.start([&](const link::stream_ptr& stream) {
+  weight_manager weights{ daemon, s };
+  call_handler handler{ daemon, s, weights };
+  const auto error = daemon.start([&](const link::stream_ptr& stream) {
     if (stream->path() == "/calls") {
-      calls.accept(stream);
+      handler.accept(stream);
     } else if (stream->path().starts_with("/calls/")) {
-      calls.homes().serve(stream);
+      handler.home().serve(stream);
     } else {
       stream->cancel();
     }
   });
-  if (wrong) {
-    std::cerr << message_of(wrong) << "\n";
+  if (error) {
+    std::cerr << message_of(error) << "\n";
     return process::exit_settings;
   }
-  daemon.is_serving = [&] { return !calls.is_leaving(); };
+  daemon.is_serving = [&] { return !handler.is_leaving(); };
   daemon.configuration.start(
     [&](const configuration::snapshot_ptr& view, const auto&) {
       weights.on_configuration(view);
-      calls.homes().on_configuration(view);
+      handler.home().on_configuration(view);
     });
-  runner r{ daemon, calls, weights };
+  runner r{ daemon, handler, weights };
   r.tick();
   daemon.run([&] { r.leave(); });
   return process::exit_ok;
--- a/cactusford/sidecar/sidecar.h
+++ b/cactusford/sidecar/sidecar.h
@@ -1,4 +1,5 @@
-// The process beside a backend server: every request and order passes here.
+// The process beside a backend server, through which every request and order to
+// it passes.
 #pragma once
 
 #include "cactusford/settings/settings.h"
--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_manager.cc
@@ -1,4 +1,4 @@
-#include "cactusford/sidecar/weight_keeper.h"
+#include "cactusford/sidecar/weight_manager.h"
 
 #include "cactusford/timeline/event.h"
 
@@ -18,8 +18,8 @@
 
 } // namespace
 
-weight_keeper::weight_keeper(process::daemon& d,
-                             const settings::sidecar_settings& s)
+weight_manager::weight_manager(process::daemon& d,
+                               const settings::sidecar_settings& s)
   : daemon_{ d }
   , settings_{ s }
   , engine_{ s.backend }
@@ -27,7 +27,7 @@
 }
 
 void
-weight_keeper::on_configuration(const configuration::snapshot_ptr& view)
+weight_manager::on_configuration(const configuration::snapshot_ptr& view)
 {
   if (settings_.kind != settings::backend_kind::engine) {
     return;
@@ -47,11 +47,11 @@
                 wanted->second.value.version,
                 wanted->second.version,
                 process::steady_ms() + swap_delay(*view));
-  step(m);
+  advance(m);
 }
 
 std::uint64_t
-weight_keeper::swap_delay(const configuration::snapshot& view) const
+weight_manager::swap_delay(const configuration::snapshot& view) const
 {
   const auto pool = view.pools->find(settings_.serves);
   std::size_t position = 0;
@@ -69,15 +69,15 @@
 }
 
 void
-weight_keeper::tick()
+weight_manager::tick()
 {
   for (auto& [model, m] : machines_) {
-    step(m);
+    advance(m);
   }
 }
 
 void
-weight_keeper::step(weights::machine& m)
+weight_manager::advance(weights::machine& m)
 {
   switch (weights::begin(m, process::steady_ms())) {
     case weights::action::none:
@@ -86,16 +86,16 @@
       read_back(m.model);
       return;
     case weights::action::stage:
-      give(m.model, engine::order_kind::stage);
+      send_order(m.model, engine::order_kind::stage);
       return;
     case weights::action::swap:
-      give(m.model, engine::order_kind::swap);
+      send_order(m.model, engine::order_kind::swap);
       return;
   }
 }
 
 void
-weight_keeper::read_back(const std::string& model)
+weight_manager::read_back(const std::string& model)
 {
   daemon_.work([this, model] { return engine_.read_versions(model); },
                [this, model](const result<engine::versions>& r) {
@@ -107,12 +107,12 @@
                                    .with("active", r.value.active)
                                    .with("staged", r.value.staged));
                  }
-                 step(m);
+                 advance(m);
                });
 }
 
 void
-weight_keeper::give(const std::string& model, engine::order_kind kind)
+weight_manager::send_order(const std::string& model, engine::order_kind kind)
 {
   const auto& m = machines_[model];
   const engine::order o{ kind, model, m.wanted, m.fence };
@@ -123,9 +123,9 @@
                   .with("fence", o.fence));
   daemon_.work([this, o] { return engine_.give(o); },
                [this, o](const failure& f) {
-                 auto& now = machines_[o.model];
+                 auto& updated = machines_[o.model];
                  weights::on_order(
-                   now, o.kind, o.version, f, process::steady_ms());
+                   updated, o.kind, o.version, f, process::steady_ms());
                  timeline::log(timeline::event{ "weights_order_ended" }
                                  .with("kind", name_of(o.kind))
                                  .with("model", o.model)
@@ -135,19 +135,19 @@
                    "weight_orders_total",
                    { { "kind", name_of(o.kind) },
                      { "error", std::string{ cactusford::name_of(f.kind) } } });
-                 step(now);
+                 advance(updated);
                });
 }
 
 std::uint64_t
-weight_keeper::serving(const std::string& model) const
+weight_manager::serving(const std::string& model) const
 {
   const auto found = machines_.find(model);
   return found == machines_.end() ? 0 : weights::serving(found->second);
 }
 
 std::uint64_t
-weight_keeper::swap_epoch(const std::string& model) const
+weight_manager::swap_epoch(const std::string& model) const
 {
   const auto found = machines_.find(model);
   return found == machines_.end() ? 0 : found->second.swap_epoch;
--- a/cactusford/sidecar/weight_keeper.h
+++ b/cactusford/sidecar/weight_manager.h
@@ -1,4 +1,5 @@
-// Drives the weight machines of one engine: one for each model it serves.
+// Runs the weight state machines of one engine, one for each model that it
+// serves.
 #pragma once
 
 #include "cactusford/process/daemon.h"
@@ -9,24 +10,24 @@
 
 namespace cactusford::sidecar {
 
-class weight_keeper
+class weight_manager
 {
 public:
-  weight_keeper(process::daemon& d, const settings::sidecar_settings& s);
+  weight_manager(process::daemon& d, const settings::sidecar_settings& s);
 
   void on_configuration(const configuration::snapshot_ptr& view);
   void tick();
 
-  // Version for new work on the model; 0 when none is known.
+  // Weight version for new work on the model; 0 when none is known.
   std::uint64_t serving(const std::string& model) const;
 
   // See machine::swap_epoch.
   std::uint64_t swap_epoch(const std::string& model) const;
 
 private:
-  void step(weights::machine& m);
+  void advance(weights::machine& m);
   void read_back(const std::string& model);
-  void give(const std::string& model, engine::order_kind kind);
+  void send_order(const std::string& model, engine::order_kind kind);
   std::uint64_t swap_delay(const configuration::snapshot& view) const;
 
   process::daemon& daemon_;
