--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -146,7 +146,7 @@
 void
 admit_key(benchmark::State& state)
 {
-  calls::record r;
+  calls::idempotency_record r;
   r.limits.max_entries = 2'000'000;
   r.limits.max_bytes = 1U << 30;
   const auto answer =
