--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -150,7 +150,7 @@
   r.limits.max_entries = 2'000'000;
   r.limits.max_bytes = 1U << 30;
   const auto answer =
-    std::make_shared<const calls::kept_answer>(calls::kept_answer{});
+    std::make_shared<const calls::stored_answer>(calls::stored_answer{});
   std::uint64_t id = 0;
   constexpr std::uint64_t now = 10'000'000;
   while (state.KeepRunning()) {
