--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -156,7 +156,7 @@
   while (state.KeepRunning()) {
     const auto key = "01a23817-13cf-79fb-b1b5-" + std::to_string(++id);
     calls::admit(r, { key, now, 1 }, now);
-    calls::answered(r, key, answer);
+    calls::store_answer(r, key, answer);
     if (r.entries.size() > 100000) {
       state.PauseTiming();
       r.entries.clear();
