--- a/cactusford/edge/hosted.h
+++ b/cactusford/edge/hosted.h
@@ -52,7 +52,9 @@
 
 // Beside an engine: weight orders.
 int
-run_side(const std::string& path, const hosted_settings& s, const dialect& d);
+run_sidecar(const std::string& path,
+            const hosted_settings& s,
+            const dialect& d);
 
 // On instances with a disk. It keeps nothing there, as all that must last is
 // in the platform's store, and says so when its instance is to be emptied.
--- a/cactusford/edge/side.cc
+++ b/cactusford/edge/side.cc
@@ -30,7 +30,7 @@
 } // namespace
 
 int
-run_side(const std::string& path, const hosted_settings& s, const dialect& d)
+run_sidecar(const std::string& path, const hosted_settings& s, const dialect& d)
 {
   host h{ path, s };
   http::client http{ h.io };
--- a/daemons/side.cc
+++ b/daemons/side.cc
@@ -6,5 +6,5 @@
 {
   using namespace cactusford;
   return edge::hosted_main(
-    argc, argv, "", platform_adapter::make_dialect(), edge::run_side);
+    argc, argv, "", platform_adapter::make_dialect(), edge::run_sidecar);
 }
