--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -139,7 +139,7 @@
   f.route = *route;
   // May be repeated, whatever the route allows to callers.
   f.route.kind = routes::call_kind::idempotent;
-  f.ends_with_a_cut = true;
+  f.no_retry_after_disconnect = true;
   f.request = request_of(call);
   f.request.fields.push_back({ p.dialect.headers.request_id, call.id });
   f.give_up_ms = http::now_ms() + route->timeout_ms;
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -511,7 +511,8 @@
   f->failed_runs += is_failed_run(ended) ? 1 : 0;
   call_progress progress;
   progress.repeatable = f->is_repeatable();
-  progress.repeatable_after_cut = !f->is_suspect && !f->ask.ends_with_a_cut;
+  progress.repeatable_after_cut =
+    !f->is_suspect && !f->ask.no_retry_after_disconnect;
   progress.runs = f->runs;
   progress.max_runs = std::max<std::uint32_t>(f->ask.route.max_attempts, 1);
   progress.tries = static_cast<std::uint32_t>(f->tried.size());
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -29,7 +29,7 @@
   std::uint64_t give_up_ms = 0;
   // After an attempt whose connection was cut it is for the asker to try again,
   // as nobody waits for the answer.
-  bool ends_with_a_cut = false;
+  bool no_retry_after_disconnect = false;
 };
 
 enum class forward_end
