--- a/cactusford/edge/dialect.h
+++ b/cactusford/edge/dialect.h
@@ -75,7 +75,7 @@
 };
 
 // The weight version that a trainer has named.
-struct named_version
+struct published_version
 {
   std::string model;
   std::uint64_t version = 0;
@@ -163,7 +163,7 @@
   std::function<store::decoded<routes::table>(const store::object&)> table_from;
   std::function<store::decoded<backends::announcement>(const store::object&)>
     announcement_from;
-  std::function<store::decoded<named_version>(const store::object&)>
+  std::function<store::decoded<published_version>(const store::object&)>
     version_from;
   std::function<store::decoded<batches::submission>(std::string_view body)>
     submission_from;
--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -36,7 +36,7 @@
 }
 
 void
-loader::on_named(const edge::named_version& v, std::uint64_t revision)
+loader::on_named(const edge::published_version& v, std::uint64_t revision)
 {
   fence_ = std::max(fence_, revision);
   auto& n = named_[v.model];
--- a/cactusford/orders/loader.h
+++ b/cactusford/orders/loader.h
@@ -31,7 +31,7 @@
 
   // A trainer has named a version; `revision` is that of the object that
   // names it.
-  void on_named(const edge::named_version& v, std::uint64_t revision);
+  void on_named(const edge::published_version& v, std::uint64_t revision);
 
   // Where the engine stands among the others, as far as anybody has counted.
   void stand_at(const place& p);
