--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -1,7 +1,7 @@
 // A request that ends every backend server that runs it: entries as processes,
 // the store and the servers in the test.
 #include "cactusford/testing/section.h"
-#include "tests/process_world.h"
+#include "tests/process_cluster.h"
 
 #include <asio/steady_timer.hpp>
 
--- a/tests/workspaces-test.cc
+++ b/tests/workspaces-test.cc
@@ -1,6 +1,6 @@
 // Keys of workspaces, at entries as processes.
 #include "cactusford/testing/section.h"
-#include "tests/process_world.h"
+#include "tests/process_cluster.h"
 
 using namespace cactusford;
 using namespace cactusford::testing;
