--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -54,7 +54,7 @@
   pid_t pid = 0;
 };
 
-struct process_world
+struct process_cluster
 {
   asio::io_context io;
   http::client http{ io };
@@ -66,7 +66,7 @@
   // What the last backend server was sent.
   http::request last_request;
 
-  process_world(const std::string& name, std::size_t count)
+  process_cluster(const std::string& name, std::size_t count)
     : service{ io,
                store,
                { "calls",
@@ -88,7 +88,7 @@
     wait_ready();
   }
 
-  ~process_world() { end_all(); }
+  ~process_cluster() { end_all(); }
 
   void choose_addresses(std::size_t count)
   {
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t ends_before = 3;
 constexpr std::size_t late_runs_allowed = 3;
 
-using world = testing::process_world;
+using world = testing::process_cluster;
 using answer = testing::process_answer;
 using testing::fatal;
 
--- a/tests/workspaces-test.cc
+++ b/tests/workspaces-test.cc
@@ -11,7 +11,7 @@
 const json second_key{ { "planning", { "key-two" } } };
 
 void
-wait_for_status(process_world& w, const std::string& key, int status)
+wait_for_status(process_cluster& w, const std::string& key, int status)
 {
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
     while (w.call(at, "other", "/look/", key).value.status != status) {
@@ -21,7 +21,7 @@
 }
 
 std::string
-all_logs(const process_world& w)
+all_logs(const process_cluster& w)
 {
   std::string text;
   for (const auto& e : w.entries) {
@@ -38,7 +38,7 @@
 // the server never sees a key, and no line of a log holds one.
 Test(workspaces, keys_come_into_force_and_are_taken_away, .timeout = 60)
 {
-  process_world w{ "keys", 2 };
+  process_cluster w{ "keys", 2 };
   w.configure(2, both_keys);
   wait_for_status(w, "", 401);
   const auto denied = w.call(0, "other", "/look/", "key-of-nobody");
@@ -59,7 +59,7 @@
 // knows. Keys that it knows go on working.
 Test(workspaces, an_entry_that_may_be_behind_denies_nothing, .timeout = 60)
 {
-  process_world w{ "behind", 1 };
+  process_cluster w{ "behind", 1 };
   w.configure(2, second_key);
   wait_for_status(w, "", 401);
   w.store.faults = [](const store::call&) {
