--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -39,7 +39,7 @@
 
 constexpr const char* fatal = "fatal";
 
-struct process_answer
+struct exchange_result
 {
   http::end_state end = http::end_state::not_sent;
   http::response value;
@@ -185,9 +185,9 @@
     run_until([until] { return http::now_ms() >= until; });
   }
 
-  process_answer ask(const std::string& address, const http::request& r)
+  exchange_result ask(const std::string& address, const http::request& r)
   {
-    std::optional<process_answer> got;
+    std::optional<exchange_result> got;
     http::exchange_options o;
     o.timeout_ms = 5000;
     http.fetch(address, r, o, [&](http::end_state end, http::response&& a) {
@@ -207,10 +207,10 @@
     }
   }
 
-  process_answer call(std::size_t at,
-                      const std::string& body,
-                      const std::string& target = "/look/",
-                      const std::string& key = {})
+  exchange_result call(std::size_t at,
+                       const std::string& body,
+                       const std::string& target = "/look/",
+                       const std::string& key = {})
   {
     const auto id = "r" + std::to_string(++next_id);
     http::request r{ "POST",
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t late_runs_allowed = 3;
 
 using world = testing::process_cluster;
-using answer = testing::process_answer;
+using answer = testing::exchange_result;
 using testing::fatal;
 
 // Sends a fatal request to one entry after the other until three servers have
