--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -202,7 +202,7 @@
   std::size_t at = 0;
   while (state.KeepRunning()) {
     at = (at + 7919) % keys.size();
-    benchmark::DoNotOptimize(workspaces::holder_of(d, keys[at]));
+    benchmark::DoNotOptimize(workspaces::find_workspace(d, keys[at]));
   }
 }
 BENCHMARK(find_key)->Arg(workspaces_today)->Arg(many_workspaces);
--- a/cactusford/edge/credentials.cc
+++ b/cactusford/edge/credentials.cc
@@ -14,7 +14,7 @@
   if (!key) {
     return { access::no_key, "", "" };
   }
-  const auto* holder = workspaces::holder_of(d, *key);
+  const auto* holder = workspaces::find_workspace(d, *key);
   if (holder == nullptr) {
     return { access::unknown_key, "", workspaces::short_digest(*key) };
   }
--- a/cactusford/workspaces/directory-test.cc
+++ b/cactusford/workspaces/directory-test.cc
@@ -24,12 +24,12 @@
 Test(workspaces, any_of_its_keys_names_a_workspace)
 {
   const auto d = two_workspaces();
-  cr_assert_eq(holder_of(d, "key-one")->name, "planning");
-  cr_assert_eq(holder_of(d, "key-two"), holder_of(d, "key-one"));
-  cr_assert_eq(holder_of(d, "key-three")->name, "billing");
-  cr_assert_null(holder_of(d, "key-four"));
-  cr_assert_null(holder_of(d, ""));
-  cr_assert_null(holder_of(d, "key-on"));
+  cr_assert_eq(find_workspace(d, "key-one")->name, "planning");
+  cr_assert_eq(find_workspace(d, "key-two"), find_workspace(d, "key-one"));
+  cr_assert_eq(find_workspace(d, "key-three")->name, "billing");
+  cr_assert_null(find_workspace(d, "key-four"));
+  cr_assert_null(find_workspace(d, ""));
+  cr_assert_null(find_workspace(d, "key-on"));
   SECTION("equal declarations make equal directories")
   {
     cr_assert(d == two_workspaces());
@@ -66,5 +66,5 @@
   }
   const auto d = b.build();
   cr_assert_eq(d.by_key.size(), many * keys);
-  cr_assert_eq(holder_of(d, "key-1234-2")->name, "w1234");
+  cr_assert_eq(find_workspace(d, "key-1234-2")->name, "w1234");
 }
--- a/cactusford/workspaces/directory.cc
+++ b/cactusford/workspaces/directory.cc
@@ -58,7 +58,7 @@
 }
 
 const workspace*
-holder_of(const directory& d, std::string_view key)
+find_workspace(const directory& d, std::string_view key)
 {
   const auto found = d.by_key.find(digest_of(key));
   return found == d.by_key.end() ? nullptr : &d.all[found->second];
--- a/cactusford/workspaces/directory.h
+++ b/cactusford/workspaces/directory.h
@@ -65,7 +65,7 @@
 
 // The workspace that holds the key; null if none does.
 const workspace*
-holder_of(const directory& d, std::string_view key);
+find_workspace(const directory& d, std::string_view key);
 
 // The key of an Authorization header of the scheme "Bearer".
 std::optional<std::string_view>
