--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -223,7 +223,7 @@
     return ask(entries.at(at).callers, r);
   }
 
-  void wait_servers()
+  void wait_for_servers()
   {
     run_until([this] { return service.all_up(); });
     // Entries gather changes of backend servers before they ask again.
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -32,10 +32,10 @@
 {
   const auto before = w.service.ends();
   for (std::size_t at = 0; w.service.ends() < before + ends_before; ++at) {
-    w.wait_servers();
+    w.wait_for_servers();
     w.call(at % w.entries.size(), fatal, target, key);
   }
-  w.wait_servers();
+  w.wait_for_servers();
 }
 
 // Refused, with a time that says minutes: a server that is down is back sooner.
@@ -57,7 +57,7 @@
     const auto at = i % w.entries.size();
     cr_expect(is_kept_out(w.call(at, fatal, target)));
     served += w.call(at, "other", target).value.status == 200 ? 1 : 0;
-    w.wait_servers();
+    w.wait_for_servers();
   }
   cr_expect_leq(w.fatal_runs() - before, late_runs_allowed);
   cr_expect_eq(served, 2 * w.entries.size());
@@ -145,10 +145,10 @@
                                 : object_store::fault::none;
   };
   while (w.service.ends() < ends_before) {
-    w.wait_servers();
+    w.wait_for_servers();
     w.call(0, fatal);
   }
-  w.wait_servers();
+  w.wait_for_servers();
   cr_expect(is_kept_out(w.call(0, fatal)));
   const auto before = w.fatal_runs();
   is_away = false;
@@ -212,7 +212,7 @@
   // All kinds are served now.
   void expect_served()
   {
-    w.wait_servers();
+    w.wait_for_servers();
     for (std::size_t k = 0; k < kinds; ++k) {
       const auto body = "lookup-" + std::to_string(k);
       cr_expect_eq(w.call(k % w.entries.size(), body).value.status, 200);
