--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -231,7 +231,7 @@
     run_for(heard_ms);
   }
 
-  std::size_t fatal_runs() const
+  std::size_t count_poison_runs() const
   {
     const auto& all = service.runs();
     return static_cast<std::size_t>(std::count(all.begin(), all.end(), fatal));
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -51,7 +51,7 @@
 void
 expect_kept_out(world& w, const std::string& target)
 {
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   std::size_t served = 0;
   for (std::size_t i = 0; i < 2 * w.entries.size(); ++i) {
     const auto at = i % w.entries.size();
@@ -59,7 +59,7 @@
     served += w.call(at, "other", target).value.status == 200 ? 1 : 0;
     w.wait_for_servers();
   }
-  cr_expect_leq(w.fatal_runs() - before, late_runs_allowed);
+  cr_expect_leq(w.count_poison_runs() - before, late_runs_allowed);
   cr_expect_eq(served, 2 * w.entries.size());
 }
 
@@ -99,13 +99,13 @@
   world w{ "keyed", 2 };
   end_three(w, "/look/", "key-1");
   w.run_for(contact_ms);
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
     cr_expect(is_kept_out(w.call(at, fatal, "/look/", "key-1")));
   }
-  cr_expect_eq(w.fatal_runs(), before);
+  cr_expect_eq(w.count_poison_runs(), before);
   cr_expect_not(is_kept_out(w.call(0, fatal, "/look/", "key-2")));
-  cr_expect_gt(w.fatal_runs(), before);
+  cr_expect_gt(w.count_poison_runs(), before);
 }
 
 // A request is kept out. All entries are killed, and one that never saw it is
@@ -117,7 +117,7 @@
   world w{ "anew", 3 };
   end_three(w);
   w.run_for(contact_ms);
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   for (auto& e : w.entries) {
     world::end(e);
   }
@@ -129,7 +129,7 @@
     cr_expect(is_kept_out(w.call(at, fatal)));
     cr_expect_eq(w.call(at, "other").value.status, 200);
   }
-  cr_expect_eq(w.fatal_runs(), before);
+  cr_expect_eq(w.count_poison_runs(), before);
 }
 
 // The store is away while servers end under a request. The entry that sees it
@@ -150,11 +150,11 @@
   }
   w.wait_for_servers();
   cr_expect(is_kept_out(w.call(0, fatal)));
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   is_away = false;
   w.run_for(contact_ms);
   cr_expect(is_kept_out(w.call(1, fatal)));
-  cr_expect_eq(w.fatal_runs(), before);
+  cr_expect_eq(w.count_poison_runs(), before);
 }
 
 namespace {
