--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_keeper.cc
@@ -43,10 +43,10 @@
   }
   auto& m = machines_[model];
   m.model = model;
-  weights::want(m,
-                wanted->second.value.version,
-                wanted->second.version,
-                process::steady_ms() + swap_delay(*view));
+  weights::set_target(m,
+                      wanted->second.value.version,
+                      wanted->second.version,
+                      process::steady_ms() + swap_delay(*view));
   step(m);
 }
 
