--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_keeper.cc
@@ -79,7 +79,7 @@
 void
 weight_keeper::step(weights::machine& m)
 {
-  switch (weights::begin(m, process::steady_ms())) {
+  switch (weights::next_action(m, process::steady_ms())) {
     case weights::action::none:
       return;
     case weights::action::read_back:
