--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_keeper.cc
@@ -77,7 +77,7 @@
 }
 
 void
-weight_keeper::step(weights::machine& m)
+weight_keeper::step(weights::weight_state& m)
 {
   switch (weights::next_action(m, process::steady_ms())) {
     case weights::action::none:
--- a/cactusford/sidecar/weight_keeper.h
+++ b/cactusford/sidecar/weight_keeper.h
@@ -24,7 +24,7 @@
   std::uint64_t swap_epoch(const std::string& model) const;
 
 private:
-  void step(weights::machine& m);
+  void step(weights::weight_state& m);
   void read_back(const std::string& model);
   void give(const std::string& model, engine::order_kind kind);
   std::uint64_t swap_delay(const configuration::snapshot& view) const;
@@ -32,7 +32,7 @@
   process::daemon& daemon_;
   settings::sidecar_settings settings_;
   engine::client engine_;
-  std::map<std::string, weights::machine> machines_;
+  std::map<std::string, weights::weight_state> machines_;
 };
 
 } // namespace cactusford::sidecar
