--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_keeper.cc
@@ -143,7 +143,7 @@
 weight_keeper::serving(const std::string& model) const
 {
   const auto found = machines_.find(model);
-  return found == machines_.end() ? 0 : weights::serving(found->second);
+  return found == machines_.end() ? 0 : weights::serving_version(found->second);
 }
 
 std::uint64_t
