--- a/cactusford/sidecar/weight_keeper.cc
+++ b/cactusford/sidecar/weight_keeper.cc
@@ -115,7 +115,7 @@
 weight_keeper::give(const std::string& model, engine::order_kind kind)
 {
   const auto& m = machines_[model];
-  const engine::order o{ kind, model, m.wanted, m.fence };
+  const engine::order o{ kind, model, m.target_version, m.fence };
   timeline::log(timeline::event{ "weights_order" }
                   .with("kind", name_of(kind))
                   .with("model", model)
--- a/cactusford/weights/machine-test.cc
+++ b/cactusford/weights/machine-test.cc
@@ -74,11 +74,11 @@
   auto m = idle_at(3);
   want(m, 5, 200, 0);
   want(m, 4, 100, 0);
-  cr_assert_eq(m.wanted, 5);
+  cr_assert_eq(m.target_version, 5);
   SECTION("a rollback is a newer wish for an older version")
   {
     want(m, 3, 300, 0);
-    cr_assert_eq(m.wanted, 3);
+    cr_assert_eq(m.target_version, 3);
   }
 }
 
--- a/cactusford/weights/machine.cc
+++ b/cactusford/weights/machine.cc
@@ -29,7 +29,7 @@
   if (fence <= m.fence) {
     return;
   }
-  m.wanted = version;
+  m.target_version = version;
   m.fence = fence;
   m.failures = 0;
   m.not_before_ms = 0;
@@ -47,10 +47,10 @@
     return action::read_back;
   }
   const bool can_order = m.now == phase::idle || m.now == phase::staged;
-  if (!can_order || m.wanted == 0 || m.wanted == m.active) {
+  if (!can_order || m.target_version == 0 || m.target_version == m.active) {
     return action::none;
   }
-  if (m.staged != m.wanted) {
+  if (m.staged != m.target_version) {
     m.now = phase::staging;
     return action::stage;
   }
