--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -206,7 +206,7 @@
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
                         .with("ends", o.ends)
-                        .with("come_back_ms", o.come_back_ms));
+                        .with("come_back_ms", o.retry_after_ms));
   }
   i.score_again_ms =
     http::now_ms() + (kept_out ? kept_out_look_ms : scorer_pause_ms);
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -662,7 +662,7 @@
       .with("backend", o.backend)
       .with("attempts", o.attempts)
       .with("ends", o.ends)
-      .with("come_back_ms", o.come_back_ms)
+      .with("come_back_ms", o.retry_after_ms)
       .with("took_ms", took)
       .with("table", table->version));
   switch (o.what) {
@@ -682,7 +682,7 @@
       refuse(c, std::string{ come_back_s });
       return;
     case forward_end::quarantined:
-      refuse(c, whole_seconds(o.come_back_ms));
+      refuse(c, whole_seconds(o.retry_after_ms));
       return;
     case forward_end::unknown:
       c.respond(answer(502));
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -597,7 +597,7 @@
   if (what == forward_end::quarantined) {
     const auto wall = timeline::wall_ms();
     const auto until = f->kept_out.until_ms;
-    o.come_back_ms = until > wall ? until - wall : trial_look_ms;
+    o.retry_after_ms = until > wall ? until - wall : trial_look_ms;
     o.ends = f->kept_out.ends;
   }
   o.answer = std::move(r);
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -61,7 +61,7 @@
   std::string backend;
   // For `quarantined`: in how many milliseconds it may be tried again, and how
   // many backend servers have ended under it.
-  std::uint64_t come_back_ms = 0;
+  std::uint64_t retry_after_ms = 0;
   std::uint32_t ends = 0;
 };
 
