--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -661,7 +661,7 @@
       .with("status", static_cast<std::uint64_t>(o.answer.status))
       .with("backend", o.backend)
       .with("attempts", o.attempts)
-      .with("ends", o.ends)
+      .with("ends", o.crashes)
       .with("come_back_ms", o.retry_after_ms)
       .with("took_ms", took)
       .with("table", table->version));
