--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -1,5 +1,5 @@
 // Entries as processes, with the store and a service of backend servers in the
-// test. Requests with the body `fatal` end each server that runs them.
+// test. Requests with the body `poison_body` end each server that runs them.
 #pragma once
 
 #include "cactusford/http/client.h"
@@ -37,7 +37,7 @@
 // Longer than any step here takes; reached only when something hangs.
 constexpr std::uint64_t hang_ms = 30000;
 
-constexpr const char* fatal = "fatal";
+constexpr const char* poison_body = "fatal";
 
 struct exchange_result
 {
@@ -75,7 +75,7 @@
                  400,
                  [this](const http::request& r) {
                    last_request = r;
-                   return r.body == fatal;
+                   return r.body == poison_body;
                  } } }
     , folder{ std::string{ CACTUSFORD_BINARY } + "/tests/processes-" + name }
   {
@@ -234,7 +234,8 @@
   std::size_t count_poison_runs() const
   {
     const auto& all = service.runs();
-    return static_cast<std::size_t>(std::count(all.begin(), all.end(), fatal));
+    return static_cast<std::size_t>(
+      std::count(all.begin(), all.end(), poison_body));
   }
 };
 
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -21,7 +21,7 @@
 
 using world = testing::process_cluster;
 using answer = testing::exchange_result;
-using testing::fatal;
+using testing::poison_body;
 
 // Sends a fatal request to one entry after the other until three servers have
 // ended under it.
@@ -33,7 +33,7 @@
   const auto before = w.service.ends();
   for (std::size_t at = 0; w.service.ends() < before + ends_before; ++at) {
     w.wait_for_servers();
-    w.call(at % w.entries.size(), fatal, target, key);
+    w.call(at % w.entries.size(), poison_body, target, key);
   }
   w.wait_for_servers();
 }
@@ -55,7 +55,7 @@
   std::size_t served = 0;
   for (std::size_t i = 0; i < 2 * w.entries.size(); ++i) {
     const auto at = i % w.entries.size();
-    cr_expect(is_kept_out(w.call(at, fatal, target)));
+    cr_expect(is_kept_out(w.call(at, poison_body, target)));
     served += w.call(at, "other", target).value.status == 200 ? 1 : 0;
     w.wait_for_servers();
   }
@@ -101,10 +101,10 @@
   w.run_for(contact_ms);
   const auto before = w.count_poison_runs();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, fatal, "/look/", "key-1")));
+    cr_expect(is_kept_out(w.call(at, poison_body, "/look/", "key-1")));
   }
   cr_expect_eq(w.count_poison_runs(), before);
-  cr_expect_not(is_kept_out(w.call(0, fatal, "/look/", "key-2")));
+  cr_expect_not(is_kept_out(w.call(0, poison_body, "/look/", "key-2")));
   cr_expect_gt(w.count_poison_runs(), before);
 }
 
@@ -126,7 +126,7 @@
   }
   w.wait_ready();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, fatal)));
+    cr_expect(is_kept_out(w.call(at, poison_body)));
     cr_expect_eq(w.call(at, "other").value.status, 200);
   }
   cr_expect_eq(w.count_poison_runs(), before);
@@ -146,14 +146,14 @@
   };
   while (w.service.ends() < ends_before) {
     w.wait_for_servers();
-    w.call(0, fatal);
+    w.call(0, poison_body);
   }
   w.wait_for_servers();
-  cr_expect(is_kept_out(w.call(0, fatal)));
+  cr_expect(is_kept_out(w.call(0, poison_body)));
   const auto before = w.count_poison_runs();
   is_away = false;
   w.run_for(contact_ms);
-  cr_expect(is_kept_out(w.call(1, fatal)));
+  cr_expect(is_kept_out(w.call(1, poison_body)));
   cr_expect_eq(w.count_poison_runs(), before);
 }
 
@@ -281,6 +281,6 @@
   w.store.put("ended-backends", "b", { { "by", 3 } });
   w.store.put("ended-backends", "c", json::array());
   end_three(w);
-  cr_expect(is_kept_out(w.call(0, fatal)));
+  cr_expect(is_kept_out(w.call(0, poison_body)));
   cr_expect_eq(w.call(0, "other").value.status, 200);
 }
