--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -85,7 +85,7 @@
     for (auto& e : entries) {
       start(e);
     }
-    wait_ready();
+    wait_until_ready();
   }
 
   ~process_cluster() { end_all(); }
@@ -197,7 +197,7 @@
     return *got;
   }
 
-  void wait_ready()
+  void wait_until_ready()
   {
     for (const auto& e : entries) {
       const http::request r{ "GET", "/", { { "Host", "h" } }, "" };
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -124,7 +124,7 @@
   for (auto& e : w.entries) {
     w.start(e);
   }
-  w.wait_ready();
+  w.wait_until_ready();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
     cr_expect(is_kept_out(w.call(at, poison_body)));
     cr_expect_eq(w.call(at, "other").value.status, 200);
