--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -119,7 +119,7 @@
   w.run_for(contact_ms);
   const auto before = w.count_poison_runs();
   for (auto& e : w.entries) {
-    world::end(e);
+    world::kill_entry(e);
   }
   for (auto& e : w.entries) {
     w.start(e);
