--- a/cactusford/edge/dialect.h
+++ b/cactusford/edge/dialect.h
@@ -125,7 +125,7 @@
 {
   accepted,
   // The weights are loaded already.
-  holds,
+  already_loaded,
   // Another order is in progress, or came in between.
   conflict,
   fenced,
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -62,7 +62,7 @@
   // For `quarantined`: in how many milliseconds it may be tried again, and how
   // many backend servers have ended under it.
   std::uint64_t retry_after_ms = 0;
-  std::uint32_t ends = 0;
+  std::uint32_t crashes = 0;
 };
 
 // What an attempt's end means for the call. Pure.
--- a/cactusford/weights/machine-test.cc
+++ b/cactusford/weights/machine-test.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-machine
+weight_state
 idle_at(std::uint64_t version)
 {
-  machine m;
+  weight_state m;
   m.model = "m";
-  begin(m, 0);
+  next_action(m, 0);
   on_read(m, { { version, 0 }, {} }, 0);
   return m;
 }
@@ -25,16 +25,16 @@
 Test(weights, stages_ahead_and_then_swaps)
 {
   auto m = idle_at(3);
-  want(m, 4, 100, 50);
-  cr_assert(begin(m, 10) == action::stage);
-  cr_assert_eq(serving(m), 3, "the old version serves while staging");
+  set_target(m, 4, 100, 50);
+  cr_assert(next_action(m, 10) == action::stage);
+  cr_assert_eq(serving_version(m), 3, "the old version serves while staging");
   on_order(m, order_kind::stage, 4, {}, 20);
-  cr_assert(begin(m, 20) == action::none, "its wave has not come");
-  cr_assert(begin(m, 50) == action::swap);
-  cr_assert_eq(serving(m), 0, "no version may be named during a swap");
+  cr_assert(next_action(m, 20) == action::none, "its wave has not come");
+  cr_assert(next_action(m, 50) == action::swap);
+  cr_assert_eq(serving_version(m), 0, "no version may be named during a swap");
   on_order(m, order_kind::swap, 4, {}, 60);
-  cr_assert_eq(serving(m), 4);
-  cr_assert(begin(m, 60) == action::none);
+  cr_assert_eq(serving_version(m), 4);
+  cr_assert(next_action(m, 60) == action::none);
 }
 
 // The swap's answer is lost: the engine may run the old or the new weights.
@@ -43,41 +43,41 @@
 Test(weights, reads_back_after_a_lost_answer)
 {
   auto m = idle_at(3);
-  want(m, 4, 100, 0);
-  begin(m, 0);
+  set_target(m, 4, 100, 0);
+  next_action(m, 0);
   on_order(m, order_kind::stage, 4, {}, 0);
   const auto epoch = m.swap_epoch;
-  begin(m, 0);
+  next_action(m, 0);
   on_order(m, order_kind::swap, 4, { error_kind::outcome_unknown, "" }, 10);
-  cr_assert_eq(serving(m), 0);
+  cr_assert_eq(serving_version(m), 0);
   cr_assert_gt(m.swap_epoch, epoch);
-  cr_assert(begin(m, 11) == action::none, "it backs off first");
-  cr_assert(begin(m, 200) == action::read_back);
+  cr_assert(next_action(m, 11) == action::none, "it backs off first");
+  cr_assert(next_action(m, 200) == action::read_back);
   SECTION("it had taken effect")
   {
     auto done = m;
     on_read(done, { { 4, 0 }, {} }, 210);
-    cr_assert_eq(serving(done), 4);
-    cr_assert(begin(done, 210) == action::none);
+    cr_assert_eq(serving_version(done), 4);
+    cr_assert(next_action(done, 210) == action::none);
   }
   SECTION("it had not: the order is given again")
   {
     auto undone = m;
     on_read(undone, { { 3, 4 }, {} }, 210);
-    cr_assert_eq(serving(undone), 3);
-    cr_assert(begin(undone, 210) == action::swap);
+    cr_assert_eq(serving_version(undone), 3);
+    cr_assert(next_action(undone, 210) == action::swap);
   }
 }
 
 Test(weights, an_older_wish_is_ignored)
 {
   auto m = idle_at(3);
-  want(m, 5, 200, 0);
-  want(m, 4, 100, 0);
+  set_target(m, 5, 200, 0);
+  set_target(m, 4, 100, 0);
   cr_assert_eq(m.target_version, 5);
   SECTION("a rollback is a newer wish for an older version")
   {
-    want(m, 3, 300, 0);
+    set_target(m, 3, 300, 0);
     cr_assert_eq(m.target_version, 3);
   }
 }
--- a/cactusford/weights/machine.cc
+++ b/cactusford/weights/machine.cc
@@ -11,7 +11,7 @@
 constexpr std::uint64_t max_retry_ms = 2000;
 
 void
-back_off(machine& m, std::uint64_t now_ms)
+back_off(weight_state& m, std::uint64_t now_ms)
 {
   const auto exponent = std::min<std::uint32_t>(m.failures, 5);
   m.not_before_ms = now_ms + std::min(first_retry_ms << exponent, max_retry_ms);
@@ -21,10 +21,10 @@
 } // namespace
 
 void
-want(machine& m,
-     std::uint64_t version,
-     std::uint64_t fence,
-     std::uint64_t swap_not_before_ms)
+set_target(weight_state& m,
+           std::uint64_t version,
+           std::uint64_t fence,
+           std::uint64_t swap_not_before_ms)
 {
   if (fence <= m.fence) {
     return;
@@ -37,7 +37,7 @@
 }
 
 action
-begin(machine& m, std::uint64_t now_ms)
+next_action(weight_state& m, std::uint64_t now_ms)
 {
   if (now_ms < m.not_before_ms) {
     return action::none;
@@ -63,7 +63,9 @@
 }
 
 void
-on_read(machine& m, const result<engine::versions>& r, std::uint64_t now_ms)
+on_read(weight_state& m,
+        const result<engine::versions>& r,
+        std::uint64_t now_ms)
 {
   if (!r) {
     m.now = phase::unknown;
@@ -82,7 +84,7 @@
 // would name the wrong version for the tokens that follow, so the machine
 // reads back first.
 void
-on_order(machine& m,
+on_order(weight_state& m,
          engine::order_kind kind,
          std::uint64_t version,
          const failure& f,
@@ -108,7 +110,7 @@
 }
 
 std::uint64_t
-serving(const machine& m)
+serving_version(const weight_state& m)
 {
   const bool known =
     m.now == phase::idle || m.now == phase::staging || m.now == phase::staged;
--- a/cactusford/weights/machine.h
+++ b/cactusford/weights/machine.h
@@ -20,11 +20,11 @@
   swapping,
 };
 
-struct machine
+struct weight_state
 {
   std::string model;
   phase now = phase::unknown;
-  std::uint64_t wanted = 0;
+  std::uint64_t target_version = 0;
   // Configuration version of the wanted weights; the fencing number of orders.
   std::uint64_t fence = 0;
   std::uint64_t active = 0;
@@ -38,7 +38,7 @@
   // A swap waits until its wave, so that not all engines pause at once.
   std::uint64_t swap_not_before_ms = 0;
 
-  friend bool operator==(const machine&, const machine&) = default;
+  friend bool operator==(const weight_state&, const weight_state&) = default;
 };
 
 enum class action
@@ -51,20 +51,22 @@
 
 // Takes a newer wish. An older fence is ignored.
 void
-want(machine& m,
-     std::uint64_t version,
-     std::uint64_t fence,
-     std::uint64_t swap_not_before_ms);
+set_target(weight_state& m,
+           std::uint64_t version,
+           std::uint64_t fence,
+           std::uint64_t swap_not_before_ms);
 
 // The next step, which the machine notes as begun.
 action
-begin(machine& m, std::uint64_t now_ms);
+next_action(weight_state& m, std::uint64_t now_ms);
 
 void
-on_read(machine& m, const result<engine::versions>& r, std::uint64_t now_ms);
+on_read(weight_state& m,
+        const result<engine::versions>& r,
+        std::uint64_t now_ms);
 
 void
-on_order(machine& m,
+on_order(weight_state& m,
          engine::order_kind kind,
          std::uint64_t version,
          const failure& f,
@@ -72,7 +74,7 @@
 
 // The version that may be named for new work, 0 when none may.
 std::uint64_t
-serving(const machine& m);
+serving_version(const weight_state& m);
 
 // Position of an instance among `count` of its pool -> delay of its swap.
 std::uint64_t
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -88,7 +88,7 @@
     wait_until_ready();
   }
 
-  ~process_cluster() { end_all(); }
+  ~process_cluster() { kill_all_entries(); }
 
   void choose_addresses(std::size_t count)
   {
@@ -148,7 +148,7 @@
     cr_assert_gt(e.pid, 0);
   }
 
-  static void end(entry_process& e)
+  static void kill_entry(entry_process& e)
   {
     if (e.pid != 0) {
       kill(e.pid, SIGKILL);
@@ -162,7 +162,7 @@
     const auto limit = http::now_ms() + hang_ms;
     while (!done()) {
       if (http::now_ms() >= limit) {
-        end_all();
+        kill_all_entries();
         cr_assert_fail("it hangs");
       }
       io.run_one_for(std::chrono::milliseconds{ 1 });
@@ -172,10 +172,10 @@
   // A failed assertion leaves the test without its destructors. Entries that it
   // left behind would ask for their store for ever, at a port that some other
   // program has by then: the soak met such requests at an engine.
-  void end_all()
+  void kill_all_entries()
   {
     for (auto& e : entries) {
-      end(e);
+      kill_entry(e);
     }
   }
 
