--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -511,7 +511,8 @@
   f->failed_runs += is_failed_run(ended) ? 1 : 0;
   call_progress progress;
   progress.repeatable = f->is_repeatable();
-  progress.repeatable_after_cut = !f->is_suspect && !f->ask.ends_with_a_cut;
+  progress.repeatable_after_cut =
+    !f->is_suspect && !f->ask.no_retry_after_disconnect;
   progress.runs = f->runs;
   progress.max_runs = std::max<std::uint32_t>(f->ask.route.max_attempts, 1);
   progress.tries = static_cast<std::uint32_t>(f->tried.size());
@@ -596,8 +597,8 @@
   if (what == forward_end::quarantined) {
     const auto wall = timeline::wall_ms();
     const auto until = f->kept_out.until_ms;
-    o.come_back_ms = until > wall ? until - wall : trial_look_ms;
-    o.ends = f->kept_out.ends;
+    o.retry_after_ms = until > wall ? until - wall : trial_look_ms;
+    o.crashes = f->kept_out.ends;
   }
   o.answer = std::move(r);
   o.failed_runs = f->failed_runs;
--- a/cactusford/sidecar/weight_manager.cc
+++ b/cactusford/sidecar/weight_manager.cc
@@ -43,10 +43,10 @@
   }
   auto& m = machines_[model];
   m.model = model;
-  weights::want(m,
-                wanted->second.value.version,
-                wanted->second.version,
-                process::steady_ms() + swap_delay(*view));
+  weights::set_target(m,
+                      wanted->second.value.version,
+                      wanted->second.version,
+                      process::steady_ms() + swap_delay(*view));
   advance(m);
 }
 
@@ -77,9 +77,9 @@
 }
 
 void
-weight_manager::advance(weights::machine& m)
+weight_manager::advance(weights::weight_state& m)
 {
-  switch (weights::begin(m, process::steady_ms())) {
+  switch (weights::next_action(m, process::steady_ms())) {
     case weights::action::none:
       return;
     case weights::action::read_back:
@@ -115,7 +115,7 @@
 weight_manager::send_order(const std::string& model, engine::order_kind kind)
 {
   const auto& m = machines_[model];
-  const engine::order o{ kind, model, m.wanted, m.fence };
+  const engine::order o{ kind, model, m.target_version, m.fence };
   timeline::log(timeline::event{ "weights_order" }
                   .with("kind", name_of(kind))
                   .with("model", model)
@@ -143,7 +143,7 @@
 weight_manager::serving(const std::string& model) const
 {
   const auto found = machines_.find(model);
-  return found == machines_.end() ? 0 : weights::serving(found->second);
+  return found == machines_.end() ? 0 : weights::serving_version(found->second);
 }
 
 std::uint64_t
--- a/tests/process_world.h
+++ b/tests/process_cluster.h
@@ -1,5 +1,5 @@
 // Entries as processes, with the store and a service of backend servers in the
-// test. Requests with the body `fatal` end each server that runs them.
+// test. Requests with the body `poison_body` end each server that runs them.
 #pragma once
 
 #include "cactusford/http/client.h"
@@ -37,9 +37,9 @@
 // Longer than any step here takes; reached only when something hangs.
 constexpr std::uint64_t hang_ms = 30000;
 
-constexpr const char* fatal = "fatal";
+constexpr const char* poison_body = "fatal";
 
-struct process_answer
+struct exchange_result
 {
   http::end_state end = http::end_state::not_sent;
   http::response value;
@@ -54,7 +54,7 @@
   pid_t pid = 0;
 };
 
-struct process_world
+struct process_cluster
 {
   asio::io_context io;
   http::client http{ io };
@@ -66,7 +66,7 @@
   // What the last backend server was sent.
   http::request last_request;
 
-  process_world(const std::string& name, std::size_t count)
+  process_cluster(const std::string& name, std::size_t count)
     : service{ io,
                store,
                { "calls",
@@ -75,7 +75,7 @@
                  400,
                  [this](const http::request& r) {
                    last_request = r;
-                   return r.body == fatal;
+                   return r.body == poison_body;
                  } } }
     , folder{ std::string{ CACTUSFORD_BINARY } + "/tests/processes-" + name }
   {
@@ -85,10 +85,10 @@
     for (auto& e : entries) {
       start(e);
     }
-    wait_ready();
+    wait_until_ready();
   }
 
-  ~process_world() { end_all(); }
+  ~process_cluster() { kill_all_entries(); }
 
   void choose_addresses(std::size_t count)
   {
@@ -148,7 +148,7 @@
     cr_assert_gt(e.pid, 0);
   }
 
-  static void end(entry_process& e)
+  static void kill_entry(entry_process& e)
   {
     if (e.pid != 0) {
       kill(e.pid, SIGKILL);
@@ -162,7 +162,7 @@
     const auto limit = http::now_ms() + hang_ms;
     while (!done()) {
       if (http::now_ms() >= limit) {
-        end_all();
+        kill_all_entries();
         cr_assert_fail("it hangs");
       }
       io.run_one_for(std::chrono::milliseconds{ 1 });
@@ -172,10 +172,10 @@
   // A failed assertion leaves the test without its destructors. Entries that it
   // left behind would ask for their store for ever, at a port that some other
   // program has by then: the soak met such requests at an engine.
-  void end_all()
+  void kill_all_entries()
   {
     for (auto& e : entries) {
-      end(e);
+      kill_entry(e);
     }
   }
 
@@ -185,9 +185,9 @@
     run_until([until] { return http::now_ms() >= until; });
   }
 
-  process_answer ask(const std::string& address, const http::request& r)
+  exchange_result ask(const std::string& address, const http::request& r)
   {
-    std::optional<process_answer> got;
+    std::optional<exchange_result> got;
     http::exchange_options o;
     o.timeout_ms = 5000;
     http.fetch(address, r, o, [&](http::end_state end, http::response&& a) {
@@ -197,7 +197,7 @@
     return *got;
   }
 
-  void wait_ready()
+  void wait_until_ready()
   {
     for (const auto& e : entries) {
       const http::request r{ "GET", "/", { { "Host", "h" } }, "" };
@@ -207,10 +207,10 @@
     }
   }
 
-  process_answer call(std::size_t at,
-                      const std::string& body,
-                      const std::string& target = "/look/",
-                      const std::string& key = {})
+  exchange_result call(std::size_t at,
+                       const std::string& body,
+                       const std::string& target = "/look/",
+                       const std::string& key = {})
   {
     const auto id = "r" + std::to_string(++next_id);
     http::request r{ "POST",
@@ -223,7 +223,7 @@
     return ask(entries.at(at).callers, r);
   }
 
-  void wait_servers()
+  void wait_for_servers()
   {
     run_until([this] { return service.all_up(); });
     // Entries gather changes of backend servers before they ask again.
@@ -231,10 +231,11 @@
     run_for(heard_ms);
   }
 
-  std::size_t fatal_runs() const
+  std::size_t count_poison_runs() const
   {
     const auto& all = service.runs();
-    return static_cast<std::size_t>(std::count(all.begin(), all.end(), fatal));
+    return static_cast<std::size_t>(
+      std::count(all.begin(), all.end(), poison_body));
   }
 };
 
