--- a/cactusford/entry/home_keeper.cc
+++ b/cactusford/entry/home_keeper.cc
@@ -122,7 +122,7 @@
   std::uint64_t version = 0;
   const auto held = view.home_maps->find(service);
   if (held != view.home_maps->end()) {
-    in.held = held->second.value;
+    in.current = held->second.value;
     version = held->second.version;
   }
   for (const auto& [name, i] : *view.instances) {
@@ -134,16 +134,16 @@
     const auto incarnation = announced == live_.end() ? 0 : announced->second;
     const bool leaves =
       leaving != leaving_.end() && leaving->second >= incarnation;
-    if (listed && !leaves && (incarnation > 0 || is_member(in.held, name))) {
+    if (listed && !leaves && (incarnation > 0 || is_member(in.current, name))) {
       in.live[name] = incarnation;
     }
   }
   in.now_ms = timeline::wall_ms();
   in.lease_ms = daemon_.settings.lease_ms;
-  in.window_ms = record_window_ms;
+  in.key_window_ms = record_window_ms;
   in.handed_over = handed_over_;
   const auto next = calls::plan_homes(in);
-  if (!in.live.empty() && next != in.held) {
+  if (!in.live.empty() && next != in.current) {
     p.busy = true;
     write(service, version, next);
   }
