--- a/cactusford/calls/tenure.cc
+++ b/cactusford/calls/tenure.cc
@@ -1,4 +1,4 @@
-#include "cactusford/calls/tenure.h"
+#include "cactusford/calls/key_ownership.h"
 
 #include "cactusford/membership/rendezvous.h"
 
--- a/cactusford/sidecar/home_membership.h
+++ b/cactusford/sidecar/home_membership.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cactusford/calls/calls.pb.h"
-#include "cactusford/calls/tenure.h"
+#include "cactusford/calls/key_ownership.h"
 #include "cactusford/calls/record.h"
 #include "cactusford/process/daemon.h"
 
