--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/call_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "cactusford/entry/caller.h"
+#include "cactusford/entry/call_dispatcher.h"
 
 #include "cactusford/calls/home.h"
 #include "cactusford/timeline/event.h"
@@ -10,14 +10,15 @@
 namespace {
 
 constexpr std::uint32_t max_attempts = 12;
-// The sidecar refuses what waits past its deadline as "not run". The entry
-// listens this much longer for that word before it must say "unknown".
+// The sidecar refuses calls that wait past their deadline as "not run". The
+// entry waits this much longer for that refusal before it has to report
+// "unknown".
 constexpr std::uint64_t deadline_grace_ms = 150;
 constexpr std::uint64_t leaving_avoid_ms = 30000;
 
 } // namespace
 
-struct caller::call
+struct call_dispatcher::call
 {
   std::uint64_t handle = 0;
   call_spec spec;
@@ -27,15 +28,16 @@
   std::string instance;
   std::vector<std::string> refused_by;
   link::stream_ptr stream;
-  calls::assembly whole;
+  calls::assembly assembly;
   std::uint64_t tokens = 0;
   std::string text;
-  // Some attempt ended without a word: it may have run.
+  // An attempt ended without a result, so the call may have run.
   bool may_have_run = false;
   bool done = false;
 };
 
-caller::caller(process::daemon& d, const settings::entry_settings& s)
+call_dispatcher::call_dispatcher(process::daemon& d,
+                                 const settings::entry_settings& s)
   : daemon_{ d }
   , settings_{ s }
   , random_{ std::random_device{}() }
@@ -46,12 +48,12 @@
   budget_.ratio = s.retry_budget_percent / 100.0;
 }
 
-caller::~caller() = default;
+call_dispatcher::~call_dispatcher() = default;
 
 void
-caller::on_configuration(const configuration::snapshot_ptr& view)
+call_dispatcher::on_configuration(const configuration::snapshot_ptr& view)
 {
-  // Most changes are of other kinds; rebuilding the pools for each of them
+  // Most changes concern other kinds; rebuilding the pools for each of them
   // would cost milliseconds at full size.
   if (view->instances == instances_) {
     return;
@@ -67,11 +69,11 @@
       found[v.serves].push_back(std::move(t));
     }
   }
-  for (const auto& [pool, held] : pools_) {
+  for (const auto& [pool, old_pool] : pools_) {
     for (auto& t : found[pool]) {
-      const auto known = routing::find(held, t.instance);
-      if (known && held.targets[*known].link == t.link) {
-        t = held.targets[*known];
+      const auto old_index = routing::find(old_pool, t.instance);
+      if (old_index && old_pool.targets[*old_index].link == t.link) {
+        t = old_pool.targets[*old_index];
       }
     }
   }
@@ -81,7 +83,7 @@
 }
 
 std::uint32_t
-caller::slots_of(const std::string& pool) const
+call_dispatcher::available_slots(const std::string& pool) const
 {
   const auto found = pools_.find(pool);
   std::uint32_t slots = 0;
@@ -95,7 +97,7 @@
 }
 
 std::uint64_t
-caller::start(call_spec spec)
+call_dispatcher::start(call_spec spec)
 {
   auto c = std::make_shared<call>();
   c->handle = next_handle_++;
@@ -112,14 +114,14 @@
                 });
   asio::post(daemon_.io, [this, c] {
     if (!c->done) {
-      attempt(c);
+      start_attempt(c);
     }
   });
   return c->handle;
 }
 
 void
-caller::cancel(std::uint64_t handle)
+call_dispatcher::cancel(std::uint64_t handle)
 {
   const auto found = calls_.find(handle);
   if (found == calls_.end()) {
@@ -127,12 +129,12 @@
   }
   const auto c = found->second;
   c->done = true;
-  leave_target(*c);
+  release_target(*c);
   calls_.erase(c->handle);
 }
 
 routing::target*
-caller::target_of(const call& c)
+call_dispatcher::target_of(const call& c)
 {
   const auto pool = pools_.find(c.pool);
   if (pool == pools_.end()) {
@@ -143,7 +145,7 @@
 }
 
 std::optional<std::uint32_t>
-caller::home(const call& c, routing::pool_state& p)
+call_dispatcher::home_target(const call& c, routing::pool_state& pool)
 {
   const auto view = daemon_.configuration.current();
   const auto map = view->home_maps->find(c.pool);
@@ -152,39 +154,39 @@
   }
   const auto home =
     calls::home_of(map->second.value, c.spec.request.idempotency_key());
-  return routing::find(p, home.instance);
+  return routing::find(pool, home.instance);
 }
 
 std::optional<std::uint32_t>
-caller::place(const call& c, routing::pool_state& p)
+call_dispatcher::choose_target(const call& c, routing::pool_state& pool)
 {
   if (!c.spec.request.idempotency_key().empty()) {
-    return home(c, p);
+    return home_target(c, pool);
   }
   std::vector<std::uint32_t> excluded;
   const auto exclude = [&](const std::string& name) {
-    if (const auto index = routing::find(p, name)) {
+    if (const auto index = routing::find(pool, name)) {
       excluded.push_back(*index);
     }
   };
-  exclude(c.spec.not_on);
+  exclude(c.spec.excluded_instance);
   for (const auto& name : c.refused_by) {
     exclude(name);
   }
   const auto now = process::steady_ms();
-  auto chosen = routing::choose(p, c.spec.affinity, excluded, routing_, now);
-  if (!chosen && c.spec.not_on.empty()) {
-    chosen = routing::choose(p, c.spec.affinity, {}, routing_, now);
+  auto chosen = routing::choose(pool, c.spec.affinity, excluded, routing_, now);
+  if (!chosen && c.spec.excluded_instance.empty()) {
+    chosen = routing::choose(pool, c.spec.affinity, {}, routing_, now);
   }
   return chosen;
 }
 
 void
-caller::attempt(const std::shared_ptr<call>& c)
+call_dispatcher::start_attempt(const std::shared_ptr<call>& c)
 {
   const auto pool = pools_.find(c->pool);
   const auto index =
-    pool == pools_.end() ? std::nullopt : place(*c, pool->second);
+    pool == pools_.end() ? std::nullopt : choose_target(*c, pool->second);
   if (!index) {
     retry(c,
           { error_kind::no_backend, "pool " + c->pool + " has none now", 500 },
@@ -195,17 +197,19 @@
   const auto& t = pool->second.targets[*index];
   c->instance = t.instance;
   ++c->attempts;
-  c->whole = {};
-  c->whole.request_id = c->spec.request.request_id();
-  c->whole.attempt = c->attempts;
+  c->assembly = {};
+  c->assembly.request_id = c->spec.request.request_id();
+  c->assembly.attempt = c->attempts;
   c->stream = daemon_.links.open(link::address_from(t.link), "/calls");
   c->stream->on_message = [this, c](std::string_view m) { on_message(c, m); };
-  c->stream->on_close = [this, c](std::error_code ec) { on_cut(c, ec); };
+  c->stream->on_close = [this, c](std::error_code ec) {
+    on_connection_lost(c, ec);
+  };
   send(c);
 }
 
 void
-caller::send(const std::shared_ptr<call>& c)
+call_dispatcher::send(const std::shared_ptr<call>& c)
 {
   auto r = c->spec.request;
   const auto now = process::steady_ms();
@@ -232,7 +236,7 @@
 }
 
 void
-caller::note_load(call& c, const calls::load_report& load)
+call_dispatcher::record_load(call& c, const calls::load_report& load)
 {
   if (auto* t = target_of(c)) {
     routing::reported(
@@ -242,34 +246,35 @@
 }
 
 void
-caller::on_message(const std::shared_ptr<call>& c, std::string_view m)
+call_dispatcher::on_message(const std::shared_ptr<call>& c, std::string_view m)
 {
   calls::call_frame f;
   if (c->done) {
     return;
   }
   if (!f.ParseFromArray(m.data(), static_cast<int>(m.size()))) {
-    on_cut(c, link::link_error::protocol);
+    on_connection_lost(c, link::link_error::protocol);
     return;
   }
   if (f.has_load()) {
-    note_load(*c, f.load());
+    record_load(*c, f.load());
   }
-  const auto judged = calls::accept_frame(
-    c->whole, { f.request_id(), f.attempt(), f.sequence() });
-  if (judged == calls::frame_result::corrupt) {
-    on_cut(c, link::link_error::protocol);
-  } else if (judged == calls::frame_result::accepted) {
+  const auto checked = calls::accept_frame(
+    c->assembly, { f.request_id(), f.attempt(), f.sequence() });
+  if (checked == calls::frame_result::corrupt) {
+    on_connection_lost(c, link::link_error::protocol);
+  } else if (checked == calls::frame_result::accepted) {
     on_content(c, f);
   }
 }
 
 void
-caller::on_content(const std::shared_ptr<call>& c, const calls::call_frame& f)
+call_dispatcher::on_content(const std::shared_ptr<call>& c,
+                            const calls::call_frame& f)
 {
   switch (f.content_case()) {
     case calls::call_frame::kTokens:
-      c->whole.sum.add(f.tokens().text());
+      c->assembly.sum.add(f.tokens().text());
       c->tokens += f.tokens().count();
       if (c->spec.may_resume && may_resume_) {
         c->text += f.tokens().text();
@@ -279,17 +284,18 @@
       }
       break;
     case calls::call_frame::kAnswer:
-      c->whole.sum.add(f.answer().body());
+      c->assembly.sum.add(f.answer().body());
       if (c->spec.on_answer) {
         c->spec.on_answer(f.answer());
       }
       break;
     case calls::call_frame::kEnd:
-      if (calls::accept_end(c->whole, f.end().frames(), f.end().checksum()) ==
+      if (calls::accept_end(
+            c->assembly, f.end().frames(), f.end().checksum()) ==
           calls::frame_result::accepted) {
         finish(c, {});
       } else {
-        on_cut(c, link::link_error::protocol);
+        on_connection_lost(c, link::link_error::protocol);
       }
       break;
     case calls::call_frame::kRefusal:
@@ -306,64 +312,66 @@
 }
 
 void
-caller::on_refusal(const std::shared_ptr<call>& c, const calls::refusal& r)
+call_dispatcher::on_refusal(const std::shared_ptr<call>& c,
+                            const calls::refusal& r)
 {
-  const failure why{ error_kind_from(r.kind()),
-                     r.message(),
-                     r.retry_after_ms() };
+  const failure error{ error_kind_from(r.kind()),
+                       r.message(),
+                       r.retry_after_ms() };
   auto* t = target_of(*c);
-  leave_target(*c);
-  switch (why.kind) {
+  release_target(*c);
+  switch (error.kind) {
     case error_kind::leaving:
       if (t != nullptr) {
         t->avoid_until_ms = process::steady_ms() + leaving_avoid_ms;
       }
-      retry(c, why, false);
+      retry(c, error, false);
       return;
     case error_kind::no_backend:
       if (t != nullptr) {
         routing::failed(*t, process::steady_ms());
       }
-      retry(c, why, true);
+      retry(c, error, true);
       return;
     case error_kind::not_home:
     case error_kind::not_ready:
     case error_kind::stale_version:
-      retry(c, why, false);
+      retry(c, error, false);
       return;
     case error_kind::overloaded:
     case error_kind::record_full:
     case error_kind::stream_cut:
-      retry(c, why, true);
+      retry(c, error, true);
       return;
     default:
-      finish(c, why);
+      finish(c, error);
   }
 }
 
 void
-caller::on_cut(const std::shared_ptr<call>& c, std::error_code ec)
+call_dispatcher::on_connection_lost(const std::shared_ptr<call>& c,
+                                    std::error_code ec)
 {
   if (c->done || !c->stream) {
     return;
   }
-  const bool never_left = ec == link::link_error::not_connected;
+  const bool was_not_sent = ec == link::link_error::not_connected;
   auto* t = target_of(*c);
-  leave_target(*c);
+  release_target(*c);
   if (t != nullptr) {
     routing::failed(*t, process::steady_ms());
   }
-  if (!never_left) {
+  if (!was_not_sent) {
     c->may_have_run = true;
   }
   retry(c,
-        never_left ? failure{ error_kind::no_backend, c->instance, 200 }
-                   : failure{ error_kind::stream_cut, c->instance, 200 },
-        !never_left);
+        was_not_sent ? failure{ error_kind::no_backend, c->instance, 200 }
+                     : failure{ error_kind::stream_cut, c->instance, 200 },
+        !was_not_sent);
 }
 
 void
-caller::leave_target(call& c)
+call_dispatcher::release_target(call& c)
 {
   if (!c.stream) {
     return;
@@ -379,81 +387,84 @@
   }
 }
 
-// A non-idempotent call is asked again at its home, whose record knows what
-// became of it; an idempotent one goes elsewhere, from the tokens it has.
+// A non-idempotent call is retried at its home, whose record knows the outcome;
+// an idempotent one is retried elsewhere and resumes after the tokens received
+// so far.
 void
-caller::retry(const std::shared_ptr<call>& c,
-              const failure& why,
-              bool counts_against_budget)
+call_dispatcher::retry(const std::shared_ptr<call>& c,
+                       const failure& error,
+                       bool counts_against_budget)
 {
-  const bool keyed = !c->spec.request.idempotency_key().empty();
+  const bool has_key = !c->spec.request.idempotency_key().empty();
   const auto now = process::steady_ms();
-  const auto wait = std::max<std::uint64_t>(
+  const auto wait_ms = std::max<std::uint64_t>(
     admission::backoff_ms(c->attempts,
                           std::uniform_real_distribution<>{}(random_)),
-    keyed || why.kind == error_kind::stale_version ? why.retry_after_ms / 2
-                                                   : 0);
-  const bool stranded = c->tokens > 0 && !(c->spec.may_resume && may_resume_);
-  // Given up on now: the answer goes out at once, not at the deadline.
-  // Waiting for a swap is no failing attempt.
+    has_key || error.kind == error_kind::stale_version
+      ? error.retry_after_ms / 2
+      : 0);
+  const bool cannot_resume =
+    c->tokens > 0 && !(c->spec.may_resume && may_resume_);
+  // Gives up at once, so that the answer is sent now rather than at the
+  // deadline. Waiting for a weight swap does not count as a failed attempt.
   const bool exhausted =
-    c->attempts >= max_attempts && why.kind != error_kind::stale_version;
-  if (stranded || exhausted || now + wait >= c->deadline ||
+    c->attempts >= max_attempts && error.kind != error_kind::stale_version;
+  if (cannot_resume || exhausted || now + wait_ms >= c->deadline ||
       (counts_against_budget && !admission::take_retry(budget_))) {
-    finish(c, why);
+    finish(c, error);
     return;
   }
-  if (why.kind == error_kind::no_backend && c->instance.empty()) {
+  if (error.kind == error_kind::no_backend && c->instance.empty()) {
     ++c->attempts;
   }
-  if (!keyed && why.kind != error_kind::stale_version) {
+  if (!has_key && error.kind != error_kind::stale_version) {
     c->refused_by.push_back(c->instance);
   }
   timeline::log(timeline::event{ "call_retry" }
                   .with("request", c->spec.request.request_id())
                   .with("attempt", c->attempts)
-                  .with("error", name_of(why.kind))
-                  .with("wait_ms", wait));
+                  .with("error", name_of(error.kind))
+                  .with("wait_ms", wait_ms));
   daemon_.metrics.add("retries_total",
-                      { { "kind", std::string{ name_of(why.kind) } } });
-  daemon_.after(wait, [this, c] {
+                      { { "kind", std::string{ name_of(error.kind) } } });
+  daemon_.after(wait_ms, [this, c] {
     if (!c->done) {
-      attempt(c);
+      start_attempt(c);
     }
   });
 }
 
 void
-caller::on_deadline(const std::shared_ptr<call>& c)
+call_dispatcher::on_deadline(const std::shared_ptr<call>& c)
 {
-  const bool asked = c->stream != nullptr;
-  if (asked) {
+  const bool is_in_flight = c->stream != nullptr;
+  if (is_in_flight) {
     c->may_have_run = true;
   }
   finish(c, { error_kind::deadline_exceeded, "no answer in time" });
 }
 
 void
-caller::finish(const std::shared_ptr<call>& c, const failure& why)
+call_dispatcher::finish(const std::shared_ptr<call>& c, const failure& error)
 {
   if (c->done) {
     return;
   }
   c->done = true;
-  leave_target(*c);
+  release_target(*c);
   call_result r;
-  r.error = why;
+  r.error = error;
   r.instance = c->instance;
   r.attempts = c->attempts;
   r.tokens = c->tokens;
-  const bool keyed = !c->spec.request.idempotency_key().empty();
-  if (why && c->tokens > 0) {
+  const bool has_key = !c->spec.request.idempotency_key().empty();
+  if (error && c->tokens > 0) {
     r.error.kind = error_kind::stream_cut;
-  } else if (why && c->may_have_run && (keyed || is_not_run(why.kind))) {
-    // Some attempt was cut without a word from the sidecar, so that a later
-    // "not run" speaks only for its own attempt.
-    r.error.kind = why.kind == error_kind::bad_request
-                     ? why.kind
+  } else if (error && c->may_have_run && (has_key || is_not_run(error.kind))) {
+    // The connection of some attempt was lost without an answer from the
+    // sidecar, so a later "not run" applies only to its own attempt.
+    r.error.kind = error.kind == error_kind::bad_request
+                     ? error.kind
                      : error_kind::outcome_unknown;
   }
   calls_.erase(c->handle);
--- a/cactusford/entry/caller.h
+++ b/cactusford/entry/call_dispatcher.h
@@ -1,5 +1,5 @@
-// Drives one call from its first attempt to its final answer: routing,
-// retries, resumption. Runs on the io thread.
+// Drives calls from the first attempt to the final answer: routing, retries and
+// resumption. Runs on the io thread.
 #pragma once
 
 #include "cactusford/admission/budget.h"
@@ -29,57 +29,61 @@
 
 struct call_spec
 {
-  // Request id, pool, class and work; the rest is filled in per attempt.
+  // Request id, pool, class and work; the other fields are set per attempt.
   calls::call_request request;
-  // Equal keys go to the same backend servers while their load allows.
+  // Calls with equal values go to the same backend servers while their load
+  // allows.
   std::uint64_t affinity = 0;
   std::uint32_t deadline_ms = 60000;
-  // Not to be sent there: a duplicate must run elsewhere.
-  std::string not_on;
+  // An instance that must not be used, as a duplicate has to run elsewhere.
+  std::string excluded_instance;
   bool may_resume = true;
 
   std::function<void(const calls::token_run&)> on_tokens;
   std::function<void(const calls::answer&)> on_answer;
-  // Runs once, last.
+  // Called once, after all other callbacks.
   std::function<void(const call_result&)> on_done;
 };
 
-class caller
+class call_dispatcher
 {
 public:
-  caller(process::daemon& d, const settings::entry_settings& s);
-  ~caller();
+  call_dispatcher(process::daemon& d, const settings::entry_settings& s);
+  ~call_dispatcher();
 
-  // Rebuilds the pools from the platform's list; known loads are kept.
+  // Rebuilds the pools from the platform's list and keeps the known load of
+  // each target.
   void on_configuration(const configuration::snapshot_ptr& view);
 
   // Returns a handle for `cancel`.
   std::uint64_t start(call_spec spec);
 
-  // Ends the call without a result.
+  // Ends the call without calling `on_done`.
   void cancel(std::uint64_t handle);
 
-  // Backend servers and slots of a pool that take new work.
-  std::uint32_t slots_of(const std::string& pool) const;
+  // Number of slots in a pool on backend servers that take new work.
+  std::uint32_t available_slots(const std::string& pool) const;
 
 private:
   struct call;
 
-  void attempt(const std::shared_ptr<call>& c);
-  std::optional<std::uint32_t> place(const call& c, routing::pool_state& p);
-  std::optional<std::uint32_t> home(const call& c, routing::pool_state& p);
+  void start_attempt(const std::shared_ptr<call>& c);
+  std::optional<std::uint32_t> choose_target(const call& c,
+                                             routing::pool_state& pool);
+  std::optional<std::uint32_t> home_target(const call& c,
+                                           routing::pool_state& pool);
   void send(const std::shared_ptr<call>& c);
   void on_message(const std::shared_ptr<call>& c, std::string_view m);
   void on_content(const std::shared_ptr<call>& c, const calls::call_frame& f);
   void on_refusal(const std::shared_ptr<call>& c, const calls::refusal& r);
-  void on_cut(const std::shared_ptr<call>& c, std::error_code ec);
-  void leave_target(call& c);
+  void on_connection_lost(const std::shared_ptr<call>& c, std::error_code ec);
+  void release_target(call& c);
   void retry(const std::shared_ptr<call>& c,
-             const failure& why,
+             const failure& error,
              bool counts_against_budget);
-  void finish(const std::shared_ptr<call>& c, const failure& why);
+  void finish(const std::shared_ptr<call>& c, const failure& error);
   void on_deadline(const std::shared_ptr<call>& c);
-  void note_load(call& c, const calls::load_report& load);
+  void record_load(call& c, const calls::load_report& load);
   routing::target* target_of(const call& c);
 
   process::daemon& daemon_;
--- a/cactusford/entry/entry.cc
+++ b/cactusford/entry/entry.cc
@@ -1,6 +1,6 @@
 #include "cactusford/entry/entry.h"
 
-#include "cactusford/entry/home_keeper.h"
+#include "cactusford/entry/home_map_writer.h"
 #include "cactusford/entry/http.h"
 #include "cactusford/entry/owner.h"
 #include "cactusford/entry/rpc.h"
@@ -15,19 +15,19 @@
 
 constexpr std::size_t worker_count = 8;
 constexpr std::uint64_t tick_ms = 50;
-// The platform's balancer goes on sending for a while; until it has looked at
-// /readyz again, callers get "leaving", which is not run.
-constexpr std::uint64_t refuse_ms = 1500;
+// The platform's load balancer keeps sending requests until it polls /readyz
+// again; until then callers get "leaving", which counts as not run.
+constexpr std::uint64_t refuse_period_ms = 1500;
 
-class process_entry
+class entry_process
 {
 public:
-  explicit process_entry(const settings::entry_settings& s)
+  explicit entry_process(const settings::entry_settings& s)
     : daemon_{ s.process, worker_count }
-    , calls_{ daemon_, s }
-    , owner_{ daemon_, s, calls_ }
-    , homes_{ daemon_ }
-    , http_{ daemon_, s, calls_ }
+    , dispatcher_{ daemon_, s }
+    , owner_{ daemon_, s, dispatcher_ }
+    , home_map_{ daemon_ }
+    , http_{ daemon_, s, dispatcher_ }
     , rpc_{ daemon_, s, owner_ }
   {
   }
@@ -35,22 +35,22 @@
   failure start()
   {
     daemon_.is_serving = [this] { return leaving_since_ == 0; };
-    auto wrong =
+    auto error =
       daemon_.start([this](const link::stream_ptr& s) { accept(s); });
-    if (!wrong) {
-      wrong = http_.start();
+    if (!error) {
+      error = http_.start();
     }
-    if (!wrong) {
-      wrong = rpc_.start();
+    if (!error) {
+      error = rpc_.start();
     }
-    return wrong;
+    return error;
   }
 
   void run()
   {
     daemon_.configuration.start(
       [this](const configuration::snapshot_ptr& view, const auto&) {
-        calls_.on_configuration(view);
+        dispatcher_.on_configuration(view);
         owner_.on_configuration(view);
       });
     tick();
@@ -65,7 +65,7 @@
     } else if (s->path().starts_with("/membership/")) {
       s->on_message = [this, s](std::string_view m) {
         s->on_message = nullptr;
-        homes_.on_word(s->path(), std::string{ m });
+        home_map_.on_announcement(s->path(), std::string{ m });
         link::reply(*s, "noted");
       };
     } else {
@@ -84,20 +84,22 @@
   {
     if (daemon_.configuration.is_ready()) {
       owner_.tick();
-      homes_.tick();
+      home_map_.tick();
     }
     const auto now = process::steady_ms();
-    const auto left = leaving_since_ == 0 ? 0 : now - leaving_since_;
-    const bool idle =
-      left >= refuse_ms && http_.open_requests() == 0 && owner_.is_idle();
-    if (idle || left > daemon_.settings.drain_limit_ms + refuse_ms) {
+    const auto leaving_for_ms = leaving_since_ == 0 ? 0 : now - leaving_since_;
+    const bool idle = leaving_for_ms >= refuse_period_ms &&
+                      http_.open_requests() == 0 && owner_.is_idle();
+    if (idle ||
+        leaving_for_ms > daemon_.settings.drain_limit_ms + refuse_period_ms) {
       stop();
       return;
     }
     daemon_.after(tick_ms, [this] { tick(); });
   }
 
-  // Waiting fetches need this thread to end, so it goes on turning meanwhile.
+  // Waiting fetches need this thread in order to end, so it keeps running while
+  // the RPC server stops on a worker.
   void stop()
   {
     daemon_.links.stop_listening();
@@ -110,9 +112,9 @@
   }
 
   process::daemon daemon_;
-  caller calls_;
+  call_dispatcher dispatcher_;
   owner owner_;
-  home_keeper homes_;
+  home_map_writer home_map_;
   http_server http_;
   rpc_server rpc_;
   std::uint64_t leaving_since_ = 0;
@@ -124,9 +126,9 @@
 run(const settings::entry_settings& s)
 {
   timeline::open_log(s.process.log, s.process.instance);
-  process_entry e{ s };
-  if (const auto wrong = e.start()) {
-    std::cerr << message_of(wrong) << "\n";
+  entry_process e{ s };
+  if (const auto error = e.start()) {
+    std::cerr << message_of(error) << "\n";
     return process::exit_settings;
   }
   e.run();
--- a/cactusford/entry/entry.h
+++ b/cactusford/entry/entry.h
@@ -1,4 +1,4 @@
-// The process that callers, trainers and operators talk to.
+// The process that serves callers, trainers and operators.
 #pragma once
 
 #include "cactusford/settings/settings.h"
--- a/cactusford/entry/home_keeper.cc
+++ b/cactusford/entry/home_map_writer.cc
@@ -1,4 +1,4 @@
-#include "cactusford/entry/home_keeper.h"
+#include "cactusford/entry/home_map_writer.h"
 
 #include "cactusford/calls/home_plan.h"
 #include "cactusford/membership/rendezvous.h"
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t record_window_ms = 600000;
 constexpr std::uint64_t retry_ms = 200;
-constexpr std::uint64_t look_interval_ms = 500;
+constexpr std::uint64_t check_interval_ms = 500;
 
 std::vector<std::string>
 live_entries(const configuration::snapshot& view)
@@ -38,13 +38,14 @@
 
 } // namespace
 
-home_keeper::home_keeper(process::daemon& d)
+home_map_writer::home_map_writer(process::daemon& d)
   : daemon_{ d }
 {
 }
 
 void
-home_keeper::on_word(const std::string& path, const std::string& message)
+home_map_writer::on_announcement(const std::string& path,
+                                 const std::string& message)
 {
   const auto blank = message.find(' ');
   std::uint64_t number = 0;
@@ -55,7 +56,7 @@
     return;
   }
   const auto instance = message.substr(0, blank);
-  heard_ = true;
+  has_new_announcement_ = true;
   if (path == "/membership/live") {
     live_[instance] = std::max(live_[instance], number);
   } else if (path == "/membership/leaving") {
@@ -65,76 +66,81 @@
   }
 }
 
-// The first entry of the rendezvous order writes. Should two think that they
-// are first, the conditional write lets one of them through.
+// The first live entry in rendezvous order writes the map. If two entries both
+// consider themselves first, the conditional write lets only one of them
+// succeed.
 void
-home_keeper::tick()
+home_map_writer::tick()
 {
   const auto view = daemon_.configuration.current();
   const auto now = process::steady_ms();
-  // Each look goes over the whole list; nothing to see until something is new.
-  if (view == seen_ && !heard_ && now < next_look_ms_) {
+  // Each check scans the whole list, so it is skipped while nothing has
+  // changed.
+  if (view == checked_view_ && !has_new_announcement_ && now < next_check_ms_) {
     return;
   }
-  seen_ = view;
-  heard_ = false;
-  next_look_ms_ = now + look_interval_ms;
+  checked_view_ = view;
+  has_new_announcement_ = false;
+  next_check_ms_ = now + check_interval_ms;
   const auto entries = live_entries(*view);
   forget_unlisted(*view);
   for (const auto& [service, declared] : *view->services) {
-    const auto first = membership::first_of(entries, "home_map/" + service);
-    if (first == daemon_.settings.instance) {
-      keep(*view, service);
+    const auto first_entry =
+      membership::first_of(entries, "home_map/" + service);
+    if (first_entry == daemon_.settings.instance) {
+      update_map(*view, service);
     }
   }
 }
 
-// What instances said that are gone from the list would otherwise stay for
-// ever.
+// Drops the announcements of instances that are no longer listed, which would
+// otherwise accumulate.
 void
-home_keeper::forget_unlisted(const configuration::snapshot& view)
+home_map_writer::forget_unlisted(const configuration::snapshot& view)
 {
-  const auto gone = [&](const auto& said) {
-    return !view.instances->contains(said.first);
+  const auto is_unlisted = [&](const auto& announcement) {
+    return !view.instances->contains(announcement.first);
   };
-  std::erase_if(live_, gone);
-  std::erase_if(leaving_, gone);
-  std::erase_if(handed_over_, [&](const auto& said) {
+  std::erase_if(live_, is_unlisted);
+  std::erase_if(leaving_, is_unlisted);
+  std::erase_if(handed_over_, [&](const auto& announcement) {
     return std::none_of(
       view.home_maps->begin(), view.home_maps->end(), [&](const auto& map) {
         const auto& former = map.second.value.former;
         return std::any_of(former.begin(), former.end(), [&](const auto& f) {
-          return f.instance == said.first && f.until_ms == said.second;
+          return f.instance == announcement.first &&
+                 f.until_ms == announcement.second;
         });
       });
   });
 }
 
 void
-home_keeper::keep(const configuration::snapshot& view,
-                  const std::string& service)
+home_map_writer::update_map(const configuration::snapshot& view,
+                            const std::string& service)
 {
-  auto& p = services_[service];
-  if (p.busy || process::steady_ms() < p.not_before_ms) {
+  auto& state = services_[service];
+  if (state.busy || process::steady_ms() < state.not_before_ms) {
     return;
   }
   calls::plan_input in;
   std::uint64_t version = 0;
-  const auto held = view.home_maps->find(service);
-  if (held != view.home_maps->end()) {
-    in.current = held->second.value;
-    version = held->second.version;
+  const auto stored_map = view.home_maps->find(service);
+  if (stored_map != view.home_maps->end()) {
+    in.current = stored_map->second.value;
+    version = stored_map->second.version;
   }
   for (const auto& [name, i] : *view.instances) {
     const bool serves = i.value.role == "sidecar" && i.value.serves == service;
-    const bool listed =
+    const bool is_live =
       serves && i.value.state == configuration::instance_state::live;
     const auto announced = live_.find(name);
     const auto leaving = leaving_.find(name);
     const auto incarnation = announced == live_.end() ? 0 : announced->second;
-    const bool leaves =
+    const bool is_leaving =
       leaving != leaving_.end() && leaving->second >= incarnation;
-    if (listed && !leaves && (incarnation > 0 || is_member(in.current, name))) {
+    if (is_live && !is_leaving &&
+        (incarnation > 0 || is_member(in.current, name))) {
       in.live[name] = incarnation;
     }
   }
@@ -144,15 +150,15 @@
   in.handed_over = handed_over_;
   const auto next = calls::plan_homes(in);
   if (!in.live.empty() && next != in.current) {
-    p.busy = true;
+    state.busy = true;
     write(service, version, next);
   }
 }
 
 void
-home_keeper::write(const std::string& service,
-                   std::uint64_t version,
-                   const configuration::home_map& next)
+home_map_writer::write(const std::string& service,
+                       std::uint64_t version,
+                       const configuration::home_map& next)
 {
   const platform::write w{ "home_map",        service,
                            version,           configuration::to_spec(next),
@@ -160,9 +166,9 @@
   daemon_.work(
     [this, w] { return daemon_.platform.put(w); },
     [this, service, w](const result<std::uint64_t>& r) {
-      auto& p = services_[service];
-      p.busy = false;
-      p.not_before_ms = process::steady_ms() + retry_ms;
+      auto& state = services_[service];
+      state.busy = false;
+      state.not_before_ms = process::steady_ms() + retry_ms;
       if (r) {
 
         timeline::log(timeline::event{ "home_map_written" }
--- a/cactusford/entry/http.cc
+++ b/cactusford/entry/http.cc
@@ -21,11 +21,12 @@
 
 constexpr std::size_t affinity_bytes = 512;
 constexpr std::uint32_t default_max_tokens = 256;
-constexpr std::uint32_t max_max_tokens = 1U << 20;
-constexpr std::uint32_t refuse_retry_ms = 1000;
+constexpr std::uint32_t max_tokens_limit = 1U << 20;
+constexpr std::uint32_t overload_retry_ms = 1000;
 
-// What the io thread hands to the thread of a caller's connection.
-struct piece
+// An event of a call, passed from the io thread to the thread of the caller's
+// connection.
+struct call_event
 {
   enum class kind
   {
@@ -33,50 +34,51 @@
     answer,
     done,
   };
-  kind what = kind::done;
+  kind type = kind::done;
   calls::token_run tokens;
   calls::answer answer;
   call_result result;
 };
 
-// Bounded by the answer itself: the sidecar sends no more than max_tokens.
-class mailbox
+// The queue needs no limit of its own: the sidecar sends no more than
+// max_tokens tokens.
+class event_queue
 {
 public:
-  void put(piece p)
+  void push(call_event event)
   {
     {
       const std::lock_guard lock{ mutex_ };
-      pieces_.push_back(std::move(p));
+      events_.push_back(std::move(event));
     }
-    filled_.notify_one();
+    not_empty_.notify_one();
   }
 
-  piece take()
+  call_event pop()
   {
     std::unique_lock lock{ mutex_ };
-    filled_.wait(lock, [this] { return !pieces_.empty(); });
-    auto p = std::move(pieces_.front());
-    pieces_.pop_front();
-    return p;
+    not_empty_.wait(lock, [this] { return !events_.empty(); });
+    auto event = std::move(events_.front());
+    events_.pop_front();
+    return event;
   }
 
 private:
   std::mutex mutex_;
-  std::condition_variable filled_;
-  std::deque<piece> pieces_;
+  std::condition_variable not_empty_;
+  std::deque<call_event> events_;
 };
 
 json
 error_body(const failure& f)
 {
-  const auto* run = is_not_run(f.kind)                      ? "not_run"
-                    : f.kind == error_kind::outcome_unknown ? "unknown"
-                                                            : "not_whole";
+  const auto* outcome = is_not_run(f.kind)                      ? "not_run"
+                        : f.kind == error_kind::outcome_unknown ? "unknown"
+                                                                : "not_whole";
   return { { "error",
              { { "kind", name_of(f.kind) },
                { "message", message_of(f) },
-               { "outcome", run },
+               { "outcome", outcome },
                { "retry_after_ms", f.retry_after_ms } } } };
 }
 
@@ -92,7 +94,7 @@
 }
 
 void
-log_end(const std::string& id, const failure& f, std::uint64_t tokens)
+log_request_end(const std::string& id, const failure& f, std::uint64_t tokens)
 {
   timeline::log(timeline::event{ "request_ended" }
                   .with("request", id)
@@ -101,12 +103,14 @@
 }
 
 std::uint64_t
-number_header(const httplib::Request& in, const char* name, std::uint64_t other)
+number_from_header(const httplib::Request& in,
+                   const char* name,
+                   std::uint64_t fallback)
 {
   const auto text = in.get_header_value(name);
   std::uint64_t value = 0;
   const auto r = std::from_chars(text.data(), text.data() + text.size(), value);
-  return text.empty() || r.ec != std::errc{} ? other : value;
+  return text.empty() || r.ec != std::errc{} ? fallback : value;
 }
 
 struct parsed_completion
@@ -119,29 +123,30 @@
 result<parsed_completion>
 parse_completion(const std::string& body)
 {
-  const auto bad = [](const char* what) {
-    return result<parsed_completion>{ {}, { error_kind::bad_request, what } };
+  const auto invalid = [](const char* message) {
+    return result<parsed_completion>{ {},
+                                      { error_kind::bad_request, message } };
   };
   const auto j = json::parse(body, nullptr, false);
   if (!j.is_object()) {
-    return bad("the body is not a JSON object");
+    return invalid("the body is not a JSON object");
   }
   const auto model = j.find("model");
   if (model == j.end() || !model->is_string()) {
-    return bad("field model: a string is needed");
+    return invalid("field model: a string is needed");
   }
   const auto prompt = j.find("prompt");
   if (prompt == j.end() || !prompt->is_string()) {
-    return bad("field prompt: a string is needed");
+    return invalid("field prompt: a string is needed");
   }
   const auto tokens = j.value("max_tokens", json(default_max_tokens));
   if (!tokens.is_number_unsigned() || tokens.get<std::uint64_t>() < 1 ||
-      tokens.get<std::uint64_t>() > max_max_tokens) {
-    return bad("field max_tokens: a number from 1 to 1048576 is needed");
+      tokens.get<std::uint64_t>() > max_tokens_limit) {
+    return invalid("field max_tokens: a number from 1 to 1048576 is needed");
   }
   const auto stream = j.value("stream", json(false));
   if (!stream.is_boolean()) {
-    return bad("field stream: true or false is needed");
+    return invalid("field stream: true or false is needed");
   }
   parsed_completion p;
   p.model = *model;
@@ -176,34 +181,34 @@
 {
   process::daemon& daemon;
   settings::entry_settings settings;
-  caller& calls;
+  call_dispatcher& dispatcher;
   httplib::Server server;
   std::thread thread;
-  std::atomic<std::size_t> open{ 0 };
+  std::atomic<std::size_t> open_count{ 0 };
   std::atomic<bool> leaving{ false };
 
-  impl(process::daemon& d, settings::entry_settings s, caller& c)
+  impl(process::daemon& d, settings::entry_settings s, call_dispatcher& c)
     : daemon{ d }
     , settings{ std::move(s) }
-    , calls{ c }
+    , dispatcher{ c }
   {
   }
 
-  // Counts a request for as long as its answer is on the way.
-  struct counted
+  // Counts a request as open until its answer has been sent.
+  struct open_request
   {
-    explicit counted(std::atomic<std::size_t>& c)
+    explicit open_request(std::atomic<std::size_t>& c)
       : count{ c }
     {
       ++count;
     }
-    ~counted() { --count; }
-    counted(const counted&) = delete;
-    counted& operator=(const counted&) = delete;
+    ~open_request() { --count; }
+    open_request(const open_request&) = delete;
+    open_request& operator=(const open_request&) = delete;
     std::atomic<std::size_t>& count;
   };
 
-  // The pool whose declaration names the model, or is named like it.
+  // Returns the pool that has this name or whose declaration names the model.
   std::string pool_of(const std::string& model)
   {
     std::promise<std::string> found;
@@ -231,56 +236,59 @@
     return found.get_future().get();
   }
 
-  std::uint64_t start(call_spec spec, const std::shared_ptr<mailbox>& box)
+  std::uint64_t start(call_spec spec,
+                      const std::shared_ptr<event_queue>& events)
   {
-    spec.on_tokens = [box](const calls::token_run& t) {
-      box->put({ piece::kind::tokens, t, {}, {} });
+    spec.on_tokens = [events](const calls::token_run& t) {
+      events->push({ call_event::kind::tokens, t, {}, {} });
     };
-    spec.on_answer = [box](const calls::answer& a) {
-      box->put({ piece::kind::answer, {}, a, {} });
+    spec.on_answer = [events](const calls::answer& a) {
+      events->push({ call_event::kind::answer, {}, a, {} });
     };
-    spec.on_done = [box](const call_result& r) {
-      box->put({ piece::kind::done, {}, {}, r });
+    spec.on_done = [events](const call_result& r) {
+      events->push({ call_event::kind::done, {}, {}, r });
     };
     std::promise<std::uint64_t> handle;
     asio::post(daemon.io,
-               [&] { handle.set_value(calls.start(std::move(spec))); });
+               [&] { handle.set_value(dispatcher.start(std::move(spec))); });
     return handle.get_future().get();
   }
 
-  // Refusals that need no backend server. True when answered.
-  bool refused(const httplib::Request& in,
-               httplib::Response& out,
-               const std::string& id)
+  // Refuses requests that can be rejected without a backend server. Returns
+  // true when the refusal has been sent.
+  bool refuse_early(const httplib::Request& in,
+                    httplib::Response& out,
+                    const std::string& id)
   {
-    failure why;
+    failure error;
     if (leaving) {
-      why = { error_kind::leaving, settings.process.instance, 50 };
-    } else if (open > settings.max_callers) {
-      why = { error_kind::overloaded,
-              "max_callers is " + std::to_string(settings.max_callers),
-              refuse_retry_ms };
+      error = { error_kind::leaving, settings.process.instance, 50 };
+    } else if (open_count > settings.max_callers) {
+      error = { error_kind::overloaded,
+                "max_callers is " + std::to_string(settings.max_callers),
+                overload_retry_ms };
     } else if (in.body.size() > settings.max_body_bytes) {
-      why = { error_kind::too_large,
-              "max_body_bytes is " + std::to_string(settings.max_body_bytes) };
+      error = { error_kind::too_large,
+                "max_body_bytes is " +
+                  std::to_string(settings.max_body_bytes) };
     }
-    if (why) {
-      finish_refused(out, id, why);
+    if (error) {
+      send_refusal(out, id, error);
     }
-    return static_cast<bool>(why);
+    return static_cast<bool>(error);
   }
 
-  void finish_refused(httplib::Response& out,
-                      const std::string& id,
-                      const failure& why)
+  void send_refusal(httplib::Response& out,
+                    const std::string& id,
+                    const failure& error)
   {
     daemon.metrics.add("refusals_total",
-                       { { "kind", std::string{ name_of(why.kind) } } });
-    log_end(id, why, 0);
-    answer_failure(out, why);
+                       { { "kind", std::string{ name_of(error.kind) } } });
+    log_request_end(id, error, 0);
+    answer_failure(out, error);
   }
 
-  std::string begin(const httplib::Request& in, const char* cls)
+  std::string accept_request(const httplib::Request& in, const char* class_name)
   {
     auto id = in.get_header_value("X-Request-Id");
     if (id.empty() || id.size() > 128) {
@@ -288,28 +296,28 @@
     }
     timeline::log(timeline::event{ "request_accepted" }
                     .with("request", id)
-                    .with("class", cls)
+                    .with("class", class_name)
                     .with("key", in.get_header_value("Idempotency-Key")));
-    daemon.metrics.add("requests_total", { { "class", cls } });
+    daemon.metrics.add("requests_total", { { "class", class_name } });
     return id;
   }
 
   void completion(const httplib::Request& in, httplib::Response& out)
   {
-    auto held = std::make_shared<counted>(open);
-    const auto id = begin(in, "live");
+    auto open_guard = std::make_shared<open_request>(open_count);
+    const auto id = accept_request(in, "live");
     out.set_header("X-Request-Id", id);
-    if (refused(in, out, id)) {
+    if (refuse_early(in, out, id)) {
       return;
     }
     auto parsed = parse_completion(in.body);
     if (!parsed) {
-      finish_refused(out, id, parsed.error);
+      send_refusal(out, id, parsed.error);
       return;
     }
     const auto pool = pool_of(parsed.value.model);
     if (pool.empty()) {
-      finish_refused(
+      send_refusal(
         out,
         id,
         { error_kind::not_found, "no pool serves " + parsed.value.model });
@@ -324,99 +332,101 @@
       std::string_view{ spec.request.completion().prompt() }.substr(
         0, affinity_bytes));
     spec.deadline_ms = static_cast<std::uint32_t>(
-      number_header(in, "X-Deadline-Ms", settings.default_deadline_ms));
-    const auto box = std::make_shared<mailbox>();
-    const auto handle = start(std::move(spec), box);
+      number_from_header(in, "X-Deadline-Ms", settings.default_deadline_ms));
+    const auto events = std::make_shared<event_queue>();
+    const auto handle = start(std::move(spec), events);
     if (parsed.value.stream) {
-      stream_out(out, id, parsed.value.model, box, handle, held);
+      stream_completion(
+        out, id, parsed.value.model, events, handle, open_guard);
     } else {
-      whole_out(out, id, parsed.value.model, *box);
+      send_completion(out, id, parsed.value.model, *events);
     }
   }
 
-  void whole_out(httplib::Response& out,
-                 const std::string& id,
-                 const std::string& model,
-                 mailbox& box)
+  void send_completion(httplib::Response& out,
+                       const std::string& id,
+                       const std::string& model,
+                       event_queue& events)
   {
     std::string text;
     std::uint64_t version = 0;
     for (;;) {
-      const auto p = box.take();
-      if (p.what == piece::kind::tokens) {
-        text += p.tokens.text();
-        version = p.tokens.weight_version();
+      const auto event = events.pop();
+      if (event.type == call_event::kind::tokens) {
+        text += event.tokens.text();
+        version = event.tokens.weight_version();
         continue;
       }
-      log_end(id, p.result.error, p.result.tokens);
-      if (p.result.error) {
-        answer_failure(out, p.result.error);
+      log_request_end(id, event.result.error, event.result.tokens);
+      if (event.result.error) {
+        answer_failure(out, event.result.error);
         return;
       }
       auto body = chunk_body(id, model, text, version, "stop");
-      body["usage"] = { { "completion_tokens", p.result.tokens } };
+      body["usage"] = { { "completion_tokens", event.result.tokens } };
       out.set_content(body.dump() + "\n", "application/json");
       return;
     }
   }
 
-  // The first piece decides the status: a request that never began gets a
-  // plain error answer, not a stream with an error in it.
-  void stream_out(httplib::Response& out,
-                  const std::string& id,
-                  const std::string& model,
-                  const std::shared_ptr<mailbox>& box,
-                  std::uint64_t handle,
-                  const std::shared_ptr<counted>& held)
+  // The first event decides the status: a request that never began gets a plain
+  // error answer rather than a stream with an error in it.
+  void stream_completion(httplib::Response& out,
+                         const std::string& id,
+                         const std::string& model,
+                         const std::shared_ptr<event_queue>& events,
+                         std::uint64_t handle,
+                         const std::shared_ptr<open_request>& open_guard)
   {
-    auto first = std::make_shared<piece>(box->take());
-    if (first->what == piece::kind::done && first->result.error) {
-      log_end(id, first->result.error, 0);
-      answer_failure(out, first->result.error);
+    auto first_event = std::make_shared<call_event>(events->pop());
+    if (first_event->type == call_event::kind::done &&
+        first_event->result.error) {
+      log_request_end(id, first_event->result.error, 0);
+      answer_failure(out, first_event->result.error);
       return;
     }
     const auto ended = std::make_shared<bool>(false);
     out.set_chunked_content_provider(
       "text/event-stream",
       [=](std::size_t, httplib::DataSink& sink) {
-        return write_piece(sink, id, model, *box, *first, ended);
+        return write_events(sink, id, model, *events, *first_event, ended);
       },
       [=, this](bool) {
         if (!*ended) {
-          // The caller went away: the backend server stops too.
-          log_end(id, { error_kind::cancelled, {} }, 0);
-          asio::post(daemon.io, [=, this] { calls.cancel(handle); });
+          // The caller disconnected: stop the backend server's work too.
+          log_request_end(id, { error_kind::cancelled, {} }, 0);
+          asio::post(daemon.io, [=, this] { dispatcher.cancel(handle); });
         }
-        (void)held;
+        (void)open_guard;
       });
   }
 
-  static bool write_piece(httplib::DataSink& sink,
-                          const std::string& id,
-                          const std::string& model,
-                          mailbox& box,
-                          piece p,
-                          const std::shared_ptr<bool>& ended)
+  static bool write_events(httplib::DataSink& sink,
+                           const std::string& id,
+                           const std::string& model,
+                           event_queue& events,
+                           call_event event,
+                           const std::shared_ptr<bool>& ended)
   {
     std::uint64_t version = 0;
     for (;;) {
-      if (p.what == piece::kind::tokens) {
-        version = p.tokens.weight_version();
+      if (event.type == call_event::kind::tokens) {
+        version = event.tokens.weight_version();
         const auto body =
-          chunk_body(id, model, p.tokens.text(), version, nullptr);
+          chunk_body(id, model, event.tokens.text(), version, nullptr);
         if (!write(sink, "data: " + body.dump() + "\n\n")) {
           return false;
         }
-        p = box.take();
+        event = events.pop();
         continue;
       }
       *ended = true;
-      log_end(id, p.result.error, p.result.tokens);
-      const auto last = p.result.error
-                          ? error_body(p.result.error)
+      log_request_end(id, event.result.error, event.result.tokens);
+      const auto last = event.result.error
+                          ? error_body(event.result.error)
                           : chunk_body(id, model, "", version, "stop");
       write(sink, "data: " + last.dump() + "\n\n");
-      if (!p.result.error) {
+      if (!event.result.error) {
         write(sink, "data: [DONE]\n\n");
       }
       sink.done();
@@ -429,26 +439,26 @@
     return sink.write(text.data(), text.size());
   }
 
-  // "/service/NAME/..." with an Idempotency-Key for calls that must not run
-  // twice.
+  // Serves "/service/NAME/...". Calls that must not run twice carry an
+  // Idempotency-Key.
   void service(const httplib::Request& in, httplib::Response& out)
   {
-    const counted held{ open };
+    const open_request open_guard{ open_count };
     const auto key = in.get_header_value("Idempotency-Key");
-    const auto id = begin(in, key.empty() ? "check" : "booking");
+    const auto id = accept_request(in, key.empty() ? "check" : "booking");
     out.set_header("X-Request-Id", id);
-    if (refused(in, out, id)) {
+    if (refuse_early(in, out, id)) {
       return;
     }
     const std::string name = in.matches[1];
     if (!has_service(name)) {
-      finish_refused(out, id, { error_kind::not_found, "service " + name });
+      send_refusal(out, id, { error_kind::not_found, "service " + name });
       return;
     }
-    const auto issued = number_header(
+    const auto issued = number_from_header(
       in, "Idempotency-Key-Issued-Ms", process::issue_time_of(key));
     if (!key.empty() && (issued == 0 || key.size() > 128)) {
-      finish_refused(
+      send_refusal(
         out,
         id,
         { error_kind::bad_request,
@@ -469,24 +479,26 @@
     work.set_body(in.body);
     spec.affinity = routing::hash_of(id);
     spec.deadline_ms = static_cast<std::uint32_t>(
-      number_header(in, "X-Deadline-Ms", settings.default_deadline_ms));
-    const auto box = std::make_shared<mailbox>();
-    start(std::move(spec), box);
-    answer_out(out, id, *box);
+      number_from_header(in, "X-Deadline-Ms", settings.default_deadline_ms));
+    const auto events = std::make_shared<event_queue>();
+    start(std::move(spec), events);
+    send_service_answer(out, id, *events);
   }
 
-  void answer_out(httplib::Response& out, const std::string& id, mailbox& box)
+  void send_service_answer(httplib::Response& out,
+                           const std::string& id,
+                           event_queue& events)
   {
     calls::answer answer;
     for (;;) {
-      const auto p = box.take();
-      if (p.what == piece::kind::answer) {
-        answer = p.answer;
+      const auto event = events.pop();
+      if (event.type == call_event::kind::answer) {
+        answer = event.answer;
         continue;
       }
-      log_end(id, p.result.error, 0);
-      if (p.result.error) {
-        answer_failure(out, p.result.error);
+      log_request_end(id, event.result.error, 0);
+      if (event.result.error) {
+        answer_failure(out, event.result.error);
         return;
       }
       out.status = static_cast<int>(answer.status());
@@ -500,8 +512,9 @@
 
   failure start_server()
   {
-    // A thread a connection: the pool is a little larger than max_callers, so
-    // that a caller over the bound gets an answer and not silence.
+    // Each connection uses one thread. The pool is slightly larger than
+    // max_callers, so that callers over the limit get an answer instead of
+    // silence.
     const auto threads = settings.max_callers + 16;
     server.new_task_queue = [threads] {
       return new httplib::ThreadPool(threads);
@@ -552,8 +565,8 @@
 
 http_server::http_server(process::daemon& d,
                          const settings::entry_settings& s,
-                         caller& calls)
-  : impl_{ std::make_unique<impl>(d, s, calls) }
+                         call_dispatcher& dispatcher)
+  : impl_{ std::make_unique<impl>(d, s, dispatcher) }
 {
 }
 
@@ -580,7 +593,7 @@
 std::size_t
 http_server::open_requests() const
 {
-  return impl_->open;
+  return impl_->open_count;
 }
 
 } // namespace cactusford::entry
--- a/cactusford/entry/http.h
+++ b/cactusford/entry/http.h
@@ -1,7 +1,8 @@
-// The callers' port: completions in the OpenAI style, and plain services.
+// HTTP server for callers: completions in the OpenAI format, and calls to plain
+// services.
 #pragma once
 
-#include "cactusford/entry/caller.h"
+#include "cactusford/entry/call_dispatcher.h"
 
 #include <memory>
 
@@ -12,12 +13,12 @@
 public:
   http_server(process::daemon& d,
               const settings::entry_settings& s,
-              caller& calls);
+              call_dispatcher& dispatcher);
   ~http_server();
 
   failure start();
 
-  // New requests are refused as "leaving".
+  // Refuses new requests as "leaving" from now on.
   void leave();
 
   std::size_t open_requests() const;
--- a/cactusford/entry/lease_holder.h
+++ b/cactusford/entry/lease_manager.h
@@ -1,4 +1,4 @@
-// Keeps the leases of the trainers that this entry may own.
+// Acquires and renews the leases of the trainers that this entry may own.
 #pragma once
 
 #include "cactusford/ownership/lease.h"
@@ -11,38 +11,41 @@
 
 namespace cactusford::entry {
 
-class lease_holder
+class lease_manager
 {
 public:
-  // `on_change` runs with the trainer and its fencing number, 0 when lost.
+  // `on_change` is called with the trainer and its fencing token, or 0 when the
+  // lease is lost.
   using change_handler = std::function<void(const std::string&, std::uint64_t)>;
 
-  lease_holder(process::daemon& d, change_handler on_change);
+  lease_manager(process::daemon& d, change_handler on_change);
 
   void on_configuration(const configuration::snapshot_ptr& view);
   void tick();
 
-  // Gives all leases back, so that another entry takes over at once.
+  // Releases all leases, so that another entry can take over at once.
   void release_all();
   bool holds_any() const;
 
-  // 0 when this entry is not the owner.
+  // Returns the fencing token of the lease, or 0 when this entry is not the
+  // owner.
   std::uint64_t fence_of(const std::string& trainer) const;
 
-  // A receiver has seen a newer fencing number.
-  void lose(const std::string& trainer);
+  // Marks the lease as lost, after another process reported a newer fencing
+  // token.
+  void mark_lost(const std::string& trainer);
 
 private:
-  void step(const std::string& trainer, ownership::keeper& k);
+  void advance(const std::string& trainer, ownership::keeper& lease);
   void read(const std::string& trainer);
   void write(const std::string& trainer, ownership::action a);
 
   process::daemon& daemon_;
   change_handler on_change_;
-  std::map<std::string, ownership::keeper> keepers_;
+  std::map<std::string, ownership::keeper> leases_;
 };
 
-// Live entries that may own the trainer, best first.
+// Live entries that may own the trainer, in order of preference.
 std::vector<std::string>
 owner_candidates(const configuration::snapshot& view,
                  const std::string& trainer);
--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -16,13 +16,13 @@
 constexpr std::uint64_t ledger_interval_ms = 1000;
 constexpr std::uint32_t max_fetch = 512;
 constexpr std::uint32_t max_wait_ms = 30000;
-constexpr std::uint64_t failed_wait_ms = 100;
-// Samples under way for each free slot of the pool: enough to lend an idle
-// share, few enough to stop when the weights change.
-constexpr double window_factor = 1.25;
+constexpr std::uint64_t retry_delay_ms = 100;
+// Samples in flight per free slot of the pool: enough to use an idle share, few
+// enough to stop quickly when the weights change.
+constexpr double in_flight_factor = 1.25;
 
 std::string
-runs_text(const rollout::sample& s)
+format_runs(const rollout::sample& s)
 {
   std::string text;
   for (const auto& run : s.runs()) {
@@ -33,7 +33,7 @@
 }
 
 rollout::fetch_reply
-reply_error(const failure& f)
+error_reply(const failure& f)
 {
   rollout::fetch_reply reply;
   auto& e = *reply.mutable_error();
@@ -45,11 +45,11 @@
 
 } // namespace
 
-struct owner::waiter
+struct owner::pending_fetch
 {
   rollout::fetch_request request;
   fetch_done done;
-  std::uint64_t until = 0;
+  std::uint64_t wait_until_ms = 0;
 };
 
 struct owner::session
@@ -60,13 +60,13 @@
   configuration::rollout_job job;
   configuration::trainer declared;
   // 0 until the trainer's first fetch.
-  std::uint64_t current = 0;
-  std::uint64_t version = 0;
+  std::uint64_t current_step = 0;
+  std::uint64_t weight_version = 0;
   std::map<std::uint64_t, rollout::step> steps;
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::vector<std::uint64_t>>
     handles;
   std::size_t in_flight = 0;
-  std::vector<waiter> waiters;
+  std::vector<pending_fetch> pending_fetches;
   std::uint64_t ledger_version = 0;
   std::uint64_t ledger_ms = 0;
   std::size_t ledger_delivered = 0;
@@ -83,16 +83,16 @@
   std::uint64_t step = 0;
   std::uint32_t index = 0;
   std::uint64_t handle = 0;
-  std::string not_on;
+  std::string excluded_instance;
   rollout::sample body;
 };
 
 owner::owner(process::daemon& d,
              const settings::entry_settings& s,
-             caller& calls)
+             call_dispatcher& dispatcher)
   : daemon_{ d }
   , settings_{ s }
-  , calls_{ calls }
+  , dispatcher_{ dispatcher }
   , leases_{ d, [this](const std::string& trainer, std::uint64_t fence) {
               on_lease(trainer, fence);
             } }
@@ -129,11 +129,11 @@
     s.ended = true;
     for (const auto& [slot, handles] : s.handles) {
       for (const auto handle : handles) {
-        calls_.cancel(handle);
+        dispatcher_.cancel(handle);
       }
     }
-    for (auto& w : s.waiters) {
-      w.done(reply_error({ error_kind::not_owner, trainer, 200 }));
+    for (auto& w : s.pending_fetches) {
+      w.done(error_reply({ error_kind::not_owner, trainer, 200 }));
     }
     sessions_.erase(known);
   }
@@ -157,41 +157,41 @@
 {
   const auto found = sessions_.find(r.trainer());
   if (found == sessions_.end() || !owns(*found->second)) {
-    done(reply_error({ error_kind::not_owner, r.trainer(), 200 }));
+    done(error_reply({ error_kind::not_owner, r.trainer(), 200 }));
     return;
   }
   const auto s = found->second;
-  // The trainer has heard a newer owner: this process was paused while its
-  // lease lapsed. Handing out samples now could hand them out twice.
+  // The trainer has seen a newer owner: this process was paused while its lease
+  // expired. Delivering samples now could deliver them twice.
   if (r.fence() > s->fence) {
-    leases_.lose(r.trainer());
-    done(reply_error({ error_kind::fenced, r.trainer(), 200 }));
+    leases_.mark_lost(r.trainer());
+    done(error_reply({ error_kind::fenced, r.trainer(), 200 }));
     return;
   }
   if (s->job_name.empty()) {
-    done(reply_error(
+    done(error_reply(
       { error_kind::not_found, "no rollout_job names " + r.trainer(), 1000 }));
     return;
   }
   if (r.step() == 0 || r.step() > s->job.steps) {
-    done(reply_error(
+    done(error_reply(
       { error_kind::not_found,
         "job " + s->job_name + " ends at step " + std::to_string(s->job.steps),
         1000 }));
     return;
   }
   enter_step(*s, r);
-  waiter w{ r,
-            std::move(done),
-            process::steady_ms() + std::min(r.wait_ms(), max_wait_ms) };
-  if (!answer_ready(*s, w)) {
-    s->waiters.push_back(std::move(w));
+  pending_fetch w{ r,
+                   std::move(done),
+                   process::steady_ms() + std::min(r.wait_ms(), max_wait_ms) };
+  if (!try_answer(*s, w)) {
+    s->pending_fetches.push_back(std::move(w));
   }
-  fill(s);
+  start_samples(s);
 }
 
 rollout::step&
-owner::step_of(session& s, std::uint64_t number)
+owner::get_step(session& s, std::uint64_t number)
 {
   const auto found = s.steps.find(number);
   if (found != s.steps.end()) {
@@ -212,20 +212,20 @@
 void
 owner::enter_step(session& s, const rollout::fetch_request& r)
 {
-  s.version = std::max(s.version, r.weight_version());
-  s.current = r.step();
-  while (!s.steps.empty() && s.steps.begin()->first < s.current) {
+  s.weight_version = std::max(s.weight_version, r.weight_version());
+  s.current_step = r.step();
+  while (!s.steps.empty() && s.steps.begin()->first < s.current_step) {
     const auto number = s.steps.begin()->first;
     for (std::uint32_t i = 0; i < s.steps.begin()->second.slots.size(); ++i) {
       cancel_calls(s, number, i);
     }
     s.steps.erase(s.steps.begin());
   }
-  auto& step = step_of(s, s.current);
+  auto& step = get_step(s, s.current_step);
   if (rollout::mark_received(step, r.received()) > 0) {
     for (std::uint32_t i = 0; i < step.slots.size(); ++i) {
       if (step.slots[i].phase == rollout::slot_phase::delivered) {
-        cancel_calls(s, s.current, i);
+        cancel_calls(s, s.current_step, i);
       }
     }
   }
@@ -239,39 +239,41 @@
     return;
   }
   for (const auto handle : found->second) {
-    calls_.cancel(handle);
+    dispatcher_.cancel(handle);
     --s.in_flight;
   }
   s.handles.erase(found);
 }
 
-// The bound is checked here, at the last moment, against the oldest version in
-// the sample: the trainer may have published since the sample was started.
+// The staleness bound is checked at the last moment against the oldest version
+// in the sample, as the trainer may have published new weights since the sample
+// was started.
 bool
-owner::answer_ready(session& s, waiter& w)
+owner::try_answer(session& s, pending_fetch& w)
 {
-  if (w.request.step() != s.current) {
-    w.done(reply_error({ error_kind::conflict, "a newer fetch is open", 0 }));
+  if (w.request.step() != s.current_step) {
+    w.done(error_reply({ error_kind::conflict, "a newer fetch is open", 0 }));
     return true;
   }
-  auto& step = step_of(s, s.current);
-  const auto most =
+  auto& step = get_step(s, s.current_step);
+  const auto limit =
     std::clamp<std::uint32_t>(w.request.max_samples(), 1, max_fetch);
   rollout::fetch_reply reply;
   auto& response = *reply.mutable_response();
-  for (const auto index : rollout::ready_slots(step, most)) {
+  for (const auto index : rollout::ready_slots(step, limit)) {
     auto& body = *step.slots[index].body;
-    const auto behind =
-      s.version > body.oldest_version() ? s.version - body.oldest_version() : 0;
-    if (behind > s.declared.staleness_bound) {
+    const auto staleness = s.weight_version > body.oldest_version()
+                             ? s.weight_version - body.oldest_version()
+                             : 0;
+    if (staleness > s.declared.staleness_bound) {
       timeline::log(timeline::event{ "sample_dropped" }
                       .with("sample", body.sample_id())
-                      .with("behind", behind));
+                      .with("behind", staleness));
       daemon_.metrics.add("samples_dropped_total", { { "reason", "stale" } });
       rollout::put_back(step, index);
       continue;
     }
-    s.staleness_sum += static_cast<double>(behind);
+    s.staleness_sum += static_cast<double>(staleness);
     ++s.staleness_count;
     timeline::log(timeline::event{ "sample_sent" }
                     .with("sample", body.sample_id())
@@ -279,9 +281,9 @@
                     .with("fence", s.fence));
     *response.add_samples() = body;
   }
-  const bool whole = step.delivered == step.slots.size();
-  if (response.samples_size() == 0 && !whole &&
-      process::steady_ms() < w.until) {
+  const bool is_complete = step.delivered == step.slots.size();
+  if (response.samples_size() == 0 && !is_complete &&
+      process::steady_ms() < w.wait_until_ms) {
     return false;
   }
   response.set_fence(s.fence);
@@ -293,12 +295,12 @@
 }
 
 void
-owner::answer_waiters(session& s)
+owner::answer_pending_fetches(session& s)
 {
-  auto waiting = std::exchange(s.waiters, {});
+  auto waiting = std::exchange(s.pending_fetches, {});
   for (auto& w : waiting) {
-    if (!answer_ready(s, w)) {
-      s.waiters.push_back(std::move(w));
+    if (!try_answer(s, w)) {
+      s.pending_fetches.push_back(std::move(w));
     }
   }
 }
@@ -309,27 +311,29 @@
   leases_.tick();
   const auto held = sessions_;
   for (const auto& [trainer, s] : held) {
-    answer_waiters(*s);
-    fill(s);
+    answer_pending_fetches(*s);
+    start_samples(s);
     write_ledger(s);
   }
 }
 
-// A sample of a later step is delivered under the version that the trainer
-// will have by then, so its weights must be newer by as many. A trainer that
-// weighs staleness more waits for the swap; with samples of whole steps ahead
-// there is no such wait, since they are of older weights anyway.
+// A sample of a later step is delivered under the version that the trainer will
+// have by then, so its weights must be newer by as many versions. A trainer
+// with `run_ahead` below one step waits for the swap, to keep staleness low.
+// With whole steps run ahead there is no such wait, as those samples use older
+// weights anyway.
 std::uint64_t
-owner::least_version(const session& s, std::uint64_t number) const
+owner::min_version_for(const session& s, std::uint64_t number) const
 {
-  if (number == s.current && settings_.policy != "baseline" &&
+  if (number == s.current_step && settings_.policy != "baseline" &&
       run_ahead_of(s) < 1) {
-    return std::max<std::uint64_t>(s.version, 1);
+    return std::max<std::uint64_t>(s.weight_version, 1);
   }
-  const auto at_delivery = s.version + (number - s.current);
+  const auto version_at_delivery = s.weight_version + (number - s.current_step);
   const auto bound = s.declared.staleness_bound;
-  return at_delivery > bound ? std::max<std::uint64_t>(at_delivery - bound, 1)
-                             : 1;
+  return version_at_delivery > bound
+           ? std::max<std::uint64_t>(version_at_delivery - bound, 1)
+           : 1;
 }
 
 double
@@ -340,39 +344,40 @@
 }
 
 void
-owner::fill(const session_ptr& s)
+owner::start_samples(const session_ptr& s)
 {
-  if (s->ended || s->current == 0 || s->job_name.empty() || leaving_) {
+  if (s->ended || s->current_step == 0 || s->job_name.empty() || leaving_) {
     return;
   }
-  const auto window = static_cast<std::size_t>(
-    std::ceil(calls_.slots_of(s->job.pool) * window_factor));
+  const auto max_in_flight = static_cast<std::size_t>(
+    std::ceil(dispatcher_.available_slots(s->job.pool) * in_flight_factor));
   bool more = true;
-  while (more && s->in_flight < window) {
-    more = start_from(s, s->current);
-    for (std::uint64_t ahead = 1;
-         !more && static_cast<double>(ahead) < run_ahead_of(*s) + 1 &&
-         s->current + ahead <= s->job.steps;
-         ++ahead) {
-      more = start_from(s, s->current + ahead);
+  while (more && s->in_flight < max_in_flight) {
+    more = start_sample_of_step(s, s->current_step);
+    for (std::uint64_t steps_ahead = 1;
+         !more && static_cast<double>(steps_ahead) < run_ahead_of(*s) + 1 &&
+         s->current_step + steps_ahead <= s->job.steps;
+         ++steps_ahead) {
+      more = start_sample_of_step(s, s->current_step + steps_ahead);
     }
   }
 }
 
 bool
-owner::start_from(const session_ptr& s, std::uint64_t number)
+owner::start_sample_of_step(const session_ptr& s, std::uint64_t number)
 {
   const auto view = daemon_.configuration.current();
-  const auto wanted = view->weights->find(s->declared.model);
+  const auto published = view->weights->find(s->declared.model);
   const auto active =
-    wanted == view->weights->end() ? 0 : wanted->second.value.version;
-  if (least_version(*s, number) > std::max<std::uint64_t>(active, 1)) {
+    published == view->weights->end() ? 0 : published->second.value.version;
+  if (min_version_for(*s, number) > std::max<std::uint64_t>(active, 1)) {
     return false;
   }
-  auto& step = step_of(*s, number);
-  const auto ahead = static_cast<double>(number - s->current);
-  const auto allowed =
-    ahead == 0 ? 1.0 : std::min(1.0, run_ahead_of(*s) - (ahead - 1));
+  auto& step = get_step(*s, number);
+  const auto steps_ahead = static_cast<double>(number - s->current_step);
+  const auto allowed = steps_ahead == 0
+                         ? 1.0
+                         : std::min(1.0, run_ahead_of(*s) - (steps_ahead - 1));
   const auto started = step.slots.size() - step.waiting;
   if (static_cast<double>(started) >=
       allowed * static_cast<double>(step.slots.size())) {
@@ -401,7 +406,7 @@
   const auto group = s->job_name + "/" + std::to_string(step) + "/" +
                      std::to_string(slot.group());
   sample->body.set_prompt("prompt " + group);
-  const auto tries = step_of(*s, step).slots[i].tries;
+  const auto tries = get_step(*s, step).slots[i].tries;
   sample->body.set_sample_id(group + "/" + std::to_string(slot.index()) + "#" +
                              std::to_string(s->fence) + "." +
                              std::to_string(tries));
@@ -409,11 +414,11 @@
                   .with("sample", sample->body.sample_id())
                   .with("trainer", s->trainer)
                   .with("fence", s->fence));
-  launch(s, sample);
+  start_call(s, sample);
 }
 
 void
-owner::launch(const session_ptr& s, const sample_ptr& sample)
+owner::start_call(const session_ptr& s, const sample_ptr& sample)
 {
   const auto& body = sample->body;
   call_spec spec;
@@ -427,11 +432,11 @@
   work.set_model(s->declared.model);
   work.set_prompt(body.prompt());
   work.set_max_tokens(s->job.max_tokens);
-  work.set_min_version(least_version(*s, sample->step));
-  // Equal for the whole group: its samples share a prefix.
+  work.set_min_version(min_version_for(*s, sample->step));
+  // All samples of a group share a prefix, so they get the same affinity.
   spec.affinity = routing::hash_of(body.prompt());
   spec.deadline_ms = sample_deadline_ms;
-  spec.not_on = sample->not_on;
+  spec.excluded_instance = sample->excluded_instance;
   spec.on_tokens = [sample](const calls::token_run& t) {
     rollout::add_run(sample->body, t.weight_version(), t.count());
     sample->body.mutable_text()->append(t.text());
@@ -440,7 +445,7 @@
     on_sample_end(s, sample, result);
   };
   ++s->in_flight;
-  sample->handle = calls_.start(std::move(spec));
+  sample->handle = dispatcher_.start(std::move(spec));
   s->handles[{ sample->step, sample->index }].push_back(sample->handle);
 }
 
@@ -455,8 +460,8 @@
   --s->in_flight;
   auto& handles = s->handles[{ sample->step, sample->index }];
   std::erase(handles, sample->handle);
-  const bool last = handles.empty();
-  if (last) {
+  const bool is_last = handles.empty();
+  if (is_last) {
     s->handles.erase({ sample->step, sample->index });
   }
   const auto found = s->steps.find(sample->step);
@@ -473,14 +478,14 @@
     daemon_.metrics.add("wasted_tokens_total",
                         { { "trainer", s->trainer } },
                         static_cast<double>(r.tokens));
-    if (last) {
-      daemon_.after(failed_wait_ms, [this, s, sample] {
-        const auto again = s->steps.find(sample->step);
-        if (!s->ended && again != s->steps.end() &&
-            again->second.slots[sample->index].phase ==
+    if (is_last) {
+      daemon_.after(retry_delay_ms, [this, s, sample] {
+        const auto found_again = s->steps.find(sample->step);
+        if (!s->ended && found_again != s->steps.end() &&
+            found_again->second.slots[sample->index].phase ==
               rollout::slot_phase::running) {
-          rollout::put_back(again->second, sample->index);
-          fill(s);
+          rollout::put_back(found_again->second, sample->index);
+          start_samples(s);
         }
       });
     }
@@ -492,7 +497,7 @@
   cancel_calls(*s, sample->step, sample->index);
   sample->body.set_oldest_version(oldest);
   score(s, sample);
-  fill(s);
+  start_samples(s);
 }
 
 void
@@ -532,13 +537,13 @@
     timeline::log(timeline::event{ "score_failed" }
                     .with("sample", sample->body.sample_id())
                     .with("error", name_of(result.error.kind)));
-    daemon_.after(failed_wait_ms, [this, s, sample] {
+    daemon_.after(retry_delay_ms, [this, s, sample] {
       if (!s->ended) {
         score(s, sample);
       }
     });
   };
-  calls_.start(std::move(spec));
+  dispatcher_.start(std::move(spec));
 }
 
 void
@@ -553,29 +558,29 @@
                   .with("sample", sample->body.sample_id())
                   .with("trainer", s->trainer)
                   .with("oldest", sample->body.oldest_version())
-                  .with("runs", runs_text(sample->body)));
+                  .with("runs", format_runs(sample->body)));
   rollout::fill(found->second, sample->index, sample->body);
-  answer_waiters(*s);
+  answer_pending_fetches(*s);
 }
 
-// The trainer's own word says what it holds; the ledger lets a new owner begin
-// at the right step and shows progress while no trainer is connected.
+// The trainer itself reports which samples it has. The ledger lets a new owner
+// begin at the right step and shows progress while no trainer is connected.
 void
 owner::write_ledger(const session_ptr& s)
 {
   const auto now = process::steady_ms();
-  const auto step = s->steps.find(s->current);
-  if (s->ledger_busy || s->current == 0 || step == s->steps.end() ||
+  const auto step = s->steps.find(s->current_step);
+  if (s->ledger_busy || s->current_step == 0 || step == s->steps.end() ||
       now - s->ledger_ms < ledger_interval_ms) {
     return;
   }
   const auto delivered = step->second.delivered;
-  if (delivered == s->ledger_delivered && s->current == s->ledger_step) {
+  if (delivered == s->ledger_delivered && s->current_step == s->ledger_step) {
     return;
   }
   s->ledger_busy = true;
   s->ledger_ms = now;
-  const auto number = s->current;
+  const auto number = s->current_step;
   const platform::write w{ "ledger",
                            s->trainer,
                            s->ledger_version,
@@ -584,7 +589,7 @@
                              { "step", number },
                              { "delivered", delivered },
                              { "step_size", step->second.slots.size() },
-                             { "weight_version", s->version },
+                             { "weight_version", s->weight_version },
                              { "fence", s->fence } }
                              .dump(),
                            process::new_id(),
@@ -595,23 +600,23 @@
       if (r.error.kind != error_kind::conflict) {
         return std::pair{ r, false };
       }
-      // Another owner wrote. An older one is overwritten next time; a newer
-      // one has taken the trainer over.
-      const auto held = daemon_.platform.get(w.kind, w.name);
-      const auto mine = nlohmann::json::parse(w.spec);
-      const auto theirs =
-        nlohmann::json::parse(held.value.spec, nullptr, false);
-      const bool lost = held && theirs.is_object() &&
-                        theirs.value("fence", std::uint64_t{ 0 }) >
-                          mine.value("fence", std::uint64_t{ 0 });
-      r.value = held.value.version;
-      return std::pair{ r, lost };
+      // Another owner wrote the ledger. An older owner's entry is overwritten
+      // by the next write; a newer owner has taken over the trainer.
+      const auto stored = daemon_.platform.get(w.kind, w.name);
+      const auto own_spec = nlohmann::json::parse(w.spec);
+      const auto stored_spec =
+        nlohmann::json::parse(stored.value.spec, nullptr, false);
+      const bool is_fenced = stored && stored_spec.is_object() &&
+                             stored_spec.value("fence", std::uint64_t{ 0 }) >
+                               own_spec.value("fence", std::uint64_t{ 0 });
+      r.value = stored.value.version;
+      return std::pair{ r, is_fenced };
     },
     [this, s, number, delivered](const auto& answer) {
-      const auto& [r, lost] = answer;
+      const auto& [r, is_fenced] = answer;
       s->ledger_busy = false;
-      if (lost) {
-        leases_.lose(s->trainer);
+      if (is_fenced) {
+        leases_.mark_lost(s->trainer);
       } else if (r) {
         s->ledger_version = r.value;
         s->ledger_step = number;
@@ -640,21 +645,21 @@
 {
   std::vector<owner_status> all;
   for (const auto& [trainer, s] : sessions_) {
-    owner_status one;
-    one.trainer = trainer;
-    one.fence = s->fence;
-    one.step = s->current;
-    const auto step = s->steps.find(s->current);
+    owner_status item;
+    item.trainer = trainer;
+    item.fence = s->fence;
+    item.step = s->current_step;
+    const auto step = s->steps.find(s->current_step);
     if (step != s->steps.end()) {
-      one.received = static_cast<std::uint32_t>(step->second.delivered);
-      one.step_size = static_cast<std::uint32_t>(step->second.slots.size());
+      item.received = static_cast<std::uint32_t>(step->second.delivered);
+      item.step_size = static_cast<std::uint32_t>(step->second.slots.size());
     }
-    one.weight_version = s->version;
-    one.staleness_mean =
+    item.weight_version = s->weight_version;
+    item.staleness_mean =
       s->staleness_count == 0
         ? 0
         : s->staleness_sum / static_cast<double>(s->staleness_count);
-    all.push_back(one);
+    all.push_back(item);
   }
   return all;
 }
--- a/cactusford/entry/owner.h
+++ b/cactusford/entry/owner.h
@@ -1,9 +1,9 @@
-// The owner of trainers: starts their samples, has them scored, and hands them
-// to the trainer exactly once. See docs/ROLLOUT.md.
+// Owns trainers: starts their samples, has them scored, and delivers each to
+// the trainer exactly once. See docs/ROLLOUT.md.
 #pragma once
 
-#include "cactusford/entry/caller.h"
-#include "cactusford/entry/lease_holder.h"
+#include "cactusford/entry/call_dispatcher.h"
+#include "cactusford/entry/lease_manager.h"
 #include "cactusford/rollout/step.h"
 
 #include <functional>
@@ -29,23 +29,25 @@
 class owner
 {
 public:
-  owner(process::daemon& d, const settings::entry_settings& s, caller& calls);
+  owner(process::daemon& d,
+        const settings::entry_settings& s,
+        call_dispatcher& dispatcher);
   ~owner();
 
   void on_configuration(const configuration::snapshot_ptr& view);
   void tick();
 
-  // Gives up all trainers.
+  // Releases all trainers.
   void leave();
   bool is_idle() const;
 
-  // Answers when samples are ready or the wait is over.
+  // Calls `done` when samples are ready or the wait has ended.
   void fetch(const rollout::fetch_request& r, fetch_done done);
 
   std::vector<owner_status> status() const;
 
 private:
-  struct waiter;
+  struct pending_fetch;
   struct session;
   using session_ptr = std::shared_ptr<session>;
   struct running_sample;
@@ -53,14 +55,14 @@
 
   void on_lease(const std::string& trainer, std::uint64_t fence);
   void enter_step(session& s, const rollout::fetch_request& r);
-  rollout::step& step_of(session& s, std::uint64_t number);
-  bool answer_ready(session& s, waiter& w);
-  void answer_waiters(session& s);
-  void fill(const session_ptr& s);
-  bool start_from(const session_ptr& s, std::uint64_t number);
-  std::uint64_t least_version(const session& s, std::uint64_t number) const;
+  rollout::step& get_step(session& s, std::uint64_t number);
+  bool try_answer(session& s, pending_fetch& w);
+  void answer_pending_fetches(session& s);
+  void start_samples(const session_ptr& s);
+  bool start_sample_of_step(const session_ptr& s, std::uint64_t number);
+  std::uint64_t min_version_for(const session& s, std::uint64_t number) const;
   void start_sample(const session_ptr& s, std::uint64_t step, std::uint32_t i);
-  void launch(const session_ptr& s, const sample_ptr& sample);
+  void start_call(const session_ptr& s, const sample_ptr& sample);
   void on_sample_end(const session_ptr& s,
                      const sample_ptr& sample,
                      const call_result& r);
@@ -73,8 +75,8 @@
 
   process::daemon& daemon_;
   settings::entry_settings settings_;
-  caller& calls_;
-  lease_holder leases_;
+  call_dispatcher& dispatcher_;
+  lease_manager leases_;
   std::map<std::string, session_ptr> sessions_;
   bool leaving_ = false;
 };
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -16,12 +16,12 @@
 
 namespace {
 
-constexpr std::uint32_t ask_timeout_ms = 1500;
+constexpr std::uint32_t request_timeout_ms = 1500;
 constexpr std::uint32_t fetch_margin_ms = 2000;
 constexpr int max_rpc_message = 64 << 20;
 
 grpc::Status
-status_of(const failure& f)
+grpc_status_of(const failure& f)
 {
   if (!f) {
     return grpc::Status::OK;
@@ -58,10 +58,10 @@
 
 struct rpc_server::impl
 {
-  class trainers : public rollout::trainer_service::Service
+  class trainers_service : public rollout::trainer_service::Service
   {
   public:
-    explicit trainers(impl& i)
+    explicit trainers_service(impl& i)
       : impl_{ i }
     {
     }
@@ -69,13 +69,13 @@
                        const rollout::fetch_request* in,
                        rollout::fetch_response* out) override
     {
-      return status_of(impl_.fetch(*in, *out));
+      return grpc_status_of(impl_.fetch(*in, *out));
     }
     grpc::Status publish(grpc::ServerContext*,
                          const rollout::publish_request* in,
                          rollout::publish_response* out) override
     {
-      return status_of(impl_.publish(*in, *out));
+      return grpc_status_of(impl_.publish(*in, *out));
     }
 
   private:
@@ -93,25 +93,25 @@
                        const operators::apply_request* in,
                        operators::apply_response* out) override
     {
-      return status_of(impl_.apply(*in, *out));
+      return grpc_status_of(impl_.apply(*in, *out));
     }
     grpc::Status get(grpc::ServerContext*,
                      const operators::get_request* in,
                      operators::get_response* out) override
     {
-      return status_of(impl_.get(*in, *out));
+      return grpc_status_of(impl_.get(*in, *out));
     }
     grpc::Status remove(grpc::ServerContext*,
                         const operators::delete_request* in,
                         operators::apply_response* out) override
     {
-      return status_of(impl_.remove(*in, *out));
+      return grpc_status_of(impl_.remove(*in, *out));
     }
     grpc::Status status(grpc::ServerContext*,
                         const operators::status_request*,
                         operators::status_response* out) override
     {
-      return status_of(impl_.status(*out));
+      return grpc_status_of(impl_.status(*out));
     }
 
   private:
@@ -121,15 +121,16 @@
   impl(process::daemon& d, settings::entry_settings s, owner& o)
     : daemon{ d }
     , settings{ std::move(s) }
-    , own{ o }
-    , for_trainers{ *this }
-    , for_operators{ *this }
+    , local_owner{ o }
+    , trainer_api{ *this }
+    , operator_api{ *this }
   {
   }
 
-  // Runs `run` on the io thread and waits for what it hands back.
+  // Runs `run` on the io thread and waits for the value that it passes to its
+  // callback.
   template<typename T>
-  T on_io(std::function<void(std::function<void(T)>)> run)
+  T run_on_io(std::function<void(std::function<void(T)>)> run)
   {
     auto promise = std::make_shared<std::promise<T>>();
     auto future = promise->get_future();
@@ -141,14 +142,14 @@
 
   configuration::snapshot_ptr view()
   {
-    return on_io<configuration::snapshot_ptr>(
+    return run_on_io<configuration::snapshot_ptr>(
       [this](auto done) { done(daemon.configuration.current()); });
   }
 
   failure fetch(const rollout::fetch_request& in, rollout::fetch_response& out)
   {
-    const auto reply = on_io<rollout::fetch_reply>(
-      [this, in](auto done) { fetch_somewhere(in, done); });
+    const auto reply = run_on_io<rollout::fetch_reply>(
+      [this, in](auto done) { fetch_from_owner(in, done); });
     if (reply.has_error()) {
       return failure_from(reply.error());
     }
@@ -156,51 +157,53 @@
     return {};
   }
 
-  // This entry may not be the owner: then the fetch goes on to the entries
-  // that may be, in their order.
-  void fetch_somewhere(const rollout::fetch_request& in, fetch_done done)
+  // If this entry is not the owner, forwards the fetch to the other candidate
+  // owners in order of preference.
+  void fetch_from_owner(const rollout::fetch_request& in, fetch_done done)
   {
-    own.fetch(in, [this, in, done](const rollout::fetch_reply& reply) {
+    local_owner.fetch(in, [this, in, done](const rollout::fetch_reply& reply) {
       if (reply.has_error() && reply.error().kind() == "not_owner") {
         const auto current = daemon.configuration.current();
-        auto others = owner_candidates(*current, in.trainer());
-        std::erase(others, settings.process.instance);
-        fetch_at(in, others, 0, reply, done);
+        auto candidates = owner_candidates(*current, in.trainer());
+        std::erase(candidates, settings.process.instance);
+        fetch_from_candidates(in, candidates, 0, reply, done);
       } else {
         done(reply);
       }
     });
   }
 
-  void fetch_at(const rollout::fetch_request& in,
-                const std::vector<std::string>& entries,
-                std::size_t next,
-                const rollout::fetch_reply& last,
-                const fetch_done& done)
+  void fetch_from_candidates(const rollout::fetch_request& in,
+                             const std::vector<std::string>& entries,
+                             std::size_t index,
+                             const rollout::fetch_reply& last_reply,
+                             const fetch_done& done)
   {
     const auto current = daemon.configuration.current();
-    const auto found = next < entries.size()
-                         ? current->instances->find(entries[next])
+    const auto found = index < entries.size()
+                         ? current->instances->find(entries[index])
                          : current->instances->end();
     if (found == current->instances->end()) {
-      done(last);
+      done(last_reply);
       return;
     }
-    link::ask(daemon.io,
-              daemon.links,
-              link::address_from(found->second.value.link),
-              "/rollout/fetch",
-              in.SerializeAsString(),
-              in.wait_ms() + fetch_margin_ms,
-              [=, this](const result<std::string>& r) {
-                rollout::fetch_reply reply;
-                const bool whole = r && reply.ParseFromString(r.value);
-                if (whole && reply.has_response()) {
-                  done(reply);
-                } else {
-                  fetch_at(in, entries, next + 1, whole ? reply : last, done);
-                }
-              });
+    link::ask(
+      daemon.io,
+      daemon.links,
+      link::address_from(found->second.value.link),
+      "/rollout/fetch",
+      in.SerializeAsString(),
+      in.wait_ms() + fetch_margin_ms,
+      [=, this](const result<std::string>& r) {
+        rollout::fetch_reply reply;
+        const bool is_valid = r && reply.ParseFromString(r.value);
+        if (is_valid && reply.has_response()) {
+          done(reply);
+        } else {
+          fetch_from_candidates(
+            in, entries, index + 1, is_valid ? reply : last_reply, done);
+        }
+      });
   }
 
   failure publish(const rollout::publish_request& in,
@@ -212,20 +215,22 @@
       return { error_kind::not_found, "trainer " + in.trainer() };
     }
     const auto& model = trainer->second.value.model;
-    const auto held = daemon.platform.get("weights", model);
-    if (!held && held.error.kind != error_kind::not_found) {
-      return held.error;
-    }
-    // A repeat of a publication that took effect, and a late one, change
-    // nothing: versions only grow.
-    const auto now = configuration::weights_from(held.value.spec).version;
-    if (held && !held.value.deleted && now >= in.weight_version()) {
-      out.set_configuration_version(held.value.version);
+    const auto stored = daemon.platform.get("weights", model);
+    if (!stored && stored.error.kind != error_kind::not_found) {
+      return stored.error;
+    }
+    // A repeated or late publication changes nothing, as versions only
+    // increase.
+    const auto published_version =
+      configuration::weights_from(stored.value.spec).version;
+    if (stored && !stored.value.deleted &&
+        published_version >= in.weight_version()) {
+      out.set_configuration_version(stored.value.version);
       return {};
     }
     const auto spec = configuration::to_spec({ model, in.weight_version() });
     const auto written = put(
-      { "weights", model, held.value.version, spec, in.request_id(), false });
+      { "weights", model, stored.value.version, spec, in.request_id(), false });
     out.set_configuration_version(written.value);
     if (written) {
       timeline::log(timeline::event{ "weights_published" }
@@ -249,7 +254,7 @@
                       .with("name", w.name)
                       .with("version", r.value)
                       .with("request", w.request_id));
-      // The writer knows first: it does not wait for the watch.
+      // Applies the write locally at once, without waiting for the watch.
       asio::post(daemon.io, [this, w, version = r.value] {
         daemon.configuration.learn(
           { { w.kind, w.name, version, w.remove, w.spec, w.request_id } });
@@ -262,22 +267,22 @@
                 operators::apply_response& out)
   {
     const auto& d = in.declaration();
-    if (auto wrong =
+    if (auto error =
           configuration::check_declaration(d.kind(), d.name(), d.spec())) {
-      return wrong;
+      return error;
     }
-    const auto held = daemon.platform.get(d.kind(), d.name());
-    if (!held && held.error.kind != error_kind::not_found) {
-      return held.error;
+    const auto stored = daemon.platform.get(d.kind(), d.name());
+    if (!stored && stored.error.kind != error_kind::not_found) {
+      return stored.error;
     }
-    if (held && held.value.request_id == in.request_id() &&
+    if (stored && stored.value.request_id == in.request_id() &&
         !in.request_id().empty()) {
-      out.set_version(held.value.version);
+      out.set_version(stored.value.version);
       out.set_changed(true);
       return {};
     }
-    if (held && !held.value.deleted && held.value.spec == d.spec()) {
-      out.set_version(held.value.version);
+    if (stored && !stored.value.deleted && stored.value.spec == d.spec()) {
+      out.set_version(stored.value.version);
       return {};
     }
     const auto written = put({ d.kind(),
@@ -298,11 +303,11 @@
       return { error_kind::bad_request, "kind '" + in.kind() + "'" };
     }
     if (!in.name().empty()) {
-      const auto held = daemon.platform.get(in.kind(), in.name());
-      if (!held) {
-        return held.error;
+      const auto stored = daemon.platform.get(in.kind(), in.name());
+      if (!stored) {
+        return stored.error;
       }
-      add(out, held.value);
+      add(out, stored.value);
       return {};
     }
     const auto all = daemon.platform.changes(0, 0);
@@ -331,18 +336,18 @@
     if (std::find(kinds.begin(), kinds.end(), in.kind()) == kinds.end()) {
       return { error_kind::bad_request, "kind '" + in.kind() + "'" };
     }
-    const auto held = daemon.platform.get(in.kind(), in.name());
-    if (!held) {
-      return held.error;
+    const auto stored = daemon.platform.get(in.kind(), in.name());
+    if (!stored) {
+      return stored.error;
     }
-    if (held.value.deleted) {
-      out.set_version(held.value.version);
+    if (stored.value.deleted) {
+      out.set_version(stored.value.version);
       return {};
     }
     const auto written = put({ in.kind(),
                                in.name(),
                                in.expected_version(),
-                               held.value.spec,
+                               stored.value.spec,
                                in.request_id(),
                                true });
     out.set_version(written.value);
@@ -377,13 +382,14 @@
     return {};
   }
 
-  // The roots of each data centre's tree know what the processes below them
-  // hold, so a few questions cover the whole fleet.
+  // The root processes of each data centre's tree know which configuration the
+  // processes below them have, so a few requests cover all processes.
   std::uint32_t count_in_force(const configuration::snapshot& current)
   {
     std::uint32_t covered = 0;
     for (const auto& peer : roots_of(current)) {
-      const auto r = ask_now(peer, "/configuration", report_bytes());
+      const auto r =
+        request_and_wait(peer, "/configuration", status_request_bytes());
       configuration::relay_message m;
       if (r && m.ParseFromString(r.value) &&
           m.update().covered_version() >= current.version) {
@@ -393,7 +399,7 @@
     return covered;
   }
 
-  static std::string report_bytes()
+  static std::string status_request_bytes()
   {
     configuration::relay_message m;
     m.mutable_report()->set_max_version(UINT64_MAX);
@@ -414,17 +420,17 @@
     return links;
   }
 
-  result<std::string> ask_now(const std::string& peer,
-                              const std::string& path,
-                              const std::string& request)
+  result<std::string> request_and_wait(const std::string& peer,
+                                       const std::string& path,
+                                       const std::string& request)
   {
-    return on_io<result<std::string>>([=, this](auto done) {
+    return run_on_io<result<std::string>>([=, this](auto done) {
       link::ask(daemon.io,
                 daemon.links,
                 link::address_from(peer),
                 path,
                 request,
-                ask_timeout_ms,
+                request_timeout_ms,
                 done);
     });
   }
@@ -442,7 +448,7 @@
     }
     for (const auto& name : entries) {
       const auto& link = current.instances->at(name).value.link;
-      const auto r = ask_now(link, "/rollout/status", "?");
+      const auto r = request_and_wait(link, "/rollout/status", "?");
       operators::status_response part;
       if (r && part.ParseFromString(r.value)) {
         for (auto& line : *part.mutable_trainers()) {
@@ -459,7 +465,7 @@
     s->on_message = [this, s, is_fetch](std::string_view m) {
       s->on_message = nullptr;
       if (!is_fetch) {
-        link::reply(*s, own_status());
+        link::reply(*s, local_status());
         return;
       }
       rollout::fetch_request r;
@@ -467,24 +473,24 @@
         s->cancel();
         return;
       }
-      own.fetch(r, [s](const rollout::fetch_reply& reply) {
+      local_owner.fetch(r, [s](const rollout::fetch_reply& reply) {
         link::reply(*s, reply.SerializeAsString());
       });
     };
   }
 
-  std::string own_status() const
+  std::string local_status() const
   {
     operators::status_response part;
-    for (const auto& one : own.status()) {
+    for (const auto& status : local_owner.status()) {
       auto& line = *part.add_trainers();
-      line.set_name(one.trainer);
-      line.set_fence(one.fence);
-      line.set_step(one.step);
-      line.set_received(one.received);
-      line.set_step_size(one.step_size);
-      line.set_weight_version(one.weight_version);
-      line.set_staleness_mean(one.staleness_mean);
+      line.set_name(status.trainer);
+      line.set_fence(status.fence);
+      line.set_step(status.step);
+      line.set_received(status.received);
+      line.set_step_size(status.step_size);
+      line.set_weight_version(status.weight_version);
+      line.set_staleness_mean(status.staleness_mean);
     }
     return part.SerializeAsString();
   }
@@ -497,8 +503,8 @@
       settings.rpc, grpc::InsecureServerCredentials(), &port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.SetMaxReceiveMessageSize(max_rpc_message);
-    builder.RegisterService(&for_trainers);
-    builder.RegisterService(&for_operators);
+    builder.RegisterService(&trainer_api);
+    builder.RegisterService(&operator_api);
     server = builder.BuildAndStart();
     if (!server || port == 0) {
       return { error_kind::settings_invalid,
@@ -511,9 +517,9 @@
 
   process::daemon& daemon;
   settings::entry_settings settings;
-  owner& own;
-  trainers for_trainers;
-  operators_service for_operators;
+  owner& local_owner;
+  trainers_service trainer_api;
+  operators_service operator_api;
   std::unique_ptr<grpc::Server> server;
 };
 
@@ -532,8 +538,8 @@
   return impl_->start();
 }
 
-// Calls that wait on the io thread must not wait for ever, so this runs while
-// it still turns.
+// Shuts the server down while the io thread still runs, as pending calls wait
+// on that thread and would otherwise never end.
 void
 rpc_server::stop()
 {
--- a/cactusford/entry/rpc.h
+++ b/cactusford/entry/rpc.h
@@ -1,4 +1,4 @@
-// The port of operators and trainers: gRPC, from the schema files.
+// gRPC server for operators and trainers; the .proto files define its services.
 #pragma once
 
 #include "cactusford/entry/owner.h"
