--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -5,7 +5,7 @@
 #include "cactusford/edge/dialect.h"
 #include "cactusford/edge/second_attempt.h"
 #include "cactusford/http/client.h"
-#include "cactusford/quarantine/guard.h"
+#include "cactusford/quarantine/manager.h"
 
 #include <asio/io_context.hpp>
 
--- a/cactusford/quarantine/guard-test.cc
+++ b/cactusford/quarantine/guard-test.cc
@@ -1,5 +1,5 @@
 // Guards that share a store, in one process.
-#include "cactusford/quarantine/guard.h"
+#include "cactusford/quarantine/manager.h"
 
 #include "cactusford/http/socket.h"
 #include "cactusford/testing/section.h"
--- a/cactusford/quarantine/guard.cc
+++ b/cactusford/quarantine/guard.cc
@@ -1,4 +1,4 @@
-#include "cactusford/quarantine/guard.h"
+#include "cactusford/quarantine/manager.h"
 
 #include "cactusford/http/probe.h"
 #include "cactusford/http/socket.h"
