--- a/cactusford/batches/keeper.h
+++ b/cactusford/batches/keeper.h
@@ -58,7 +58,7 @@
     return std::vector<membership::member>{};
   };
   // Null: no item is kept out.
-  quarantine::guard* guard = nullptr;
+  quarantine::manager* guard = nullptr;
 };
 
 class keeper
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -146,7 +146,7 @@
   std::uint64_t announced_ms = 0;
   // When a call last found another backend server than it was sent to.
   std::uint64_t misdirected_ms = 0;
-  quarantine::guard guard;
+  quarantine::manager guard;
   forwarder calls;
   usage::meter meter;
   batches::keeper keeper;
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -275,7 +275,7 @@
   auto d = standins::plain_dialect();
   http::client http{ io };
   store::client client{ io, http, d.store, { store.address(), {} } };
-  quarantine::guard guard{ io, client, registry, { "entry", false } };
+  quarantine::manager guard{ io, client, registry, { "entry", false } };
   forwarder calls{ io, http, registry, d, "a", &guard };
   const auto call = [&] {
     forward_request r;
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -157,7 +157,7 @@
                      backends::registry& registry,
                      const dialect& d,
                      std::string data_centre,
-                     quarantine::guard* guard)
+                     quarantine::manager* guard)
   : io_{ io }
   , http_{ http }
   , registry_{ registry }
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -110,7 +110,7 @@
             backends::registry& registry,
             const dialect& d,
             std::string data_centre,
-            quarantine::guard* guard = nullptr);
+            quarantine::manager* guard = nullptr);
 
   using handler = std::function<void(forward_outcome&&)>;
 
@@ -159,7 +159,7 @@
   const dialect& dialect_;
   std::string data_centre_;
   // Null: no request is kept out.
-  quarantine::guard* guard_;
+  quarantine::manager* guard_;
   // By the path of the route: calls of one kind take about the same time.
   std::map<std::string, second_attempts> second_;
   // Attempts under way of each work.
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -34,7 +34,7 @@
   edge::dialect dialect = standins::plain_dialect();
   store::client store;
   backends::registry registry;
-  quarantine::guard guard;
+  quarantine::manager guard;
 
   instance(asio::io_context& io,
            const std::string& store_address,
--- a/tests/batches_world.h
+++ b/tests/batches_world.h
@@ -62,7 +62,7 @@
   http::server front;
   store::client store;
   // Started by the tests that need it.
-  quarantine::guard guard;
+  quarantine::manager guard;
   edge::forwarder forwarder;
   std::unique_ptr<batches::keeper> keeper;
   std::unique_ptr<store::watcher> watcher;
