--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -79,10 +79,10 @@
 
 } // namespace
 
-guard::guard(asio::io_context& io,
-             store::client& store,
-             const backends::registry& registry,
-             guard_settings s)
+manager::manager(asio::io_context& io,
+                 store::client& store,
+                 const backends::registry& registry,
+                 guard_settings s)
   : io_{ io }
   , store_{ store }
   , registry_{ registry }
@@ -108,14 +108,14 @@
 }
 
 void
-guard::start()
+manager::start()
 {
   watcher_.start();
   tick();
 }
 
 verdict
-guard::judge(const fingerprint& f, run_kind kind)
+manager::judge(const fingerprint& f, run_kind kind)
 {
   return quarantine::judge(evidence_, f, kind, timeline::wall_ms());
 }
@@ -123,7 +123,7 @@
 // Each instance that tried it by itself would end a server: the store decides
 // on one of them.
 void
-guard::claim_trial(const fingerprint& f, std::function<void(bool)> done)
+manager::claim_trial(const fingerprint& f, std::function<void(bool)> done)
 {
   const auto now = timeline::wall_ms();
   report trial;
@@ -151,9 +151,9 @@
 // Ends of a connection are many, ends of a process few. Counted alike, resets
 // and lost answers would make suspects of requests that run well.
 void
-guard::on_cut(const backends::life& of,
-              const std::string& address,
-              const fingerprint& f)
+manager::on_cut(const backends::life& of,
+                const std::string& address,
+                const fingerprint& f)
 {
   ++counts_.cuts;
   const auto key = key_of(of);
@@ -176,7 +176,7 @@
 }
 
 bool
-guard::is_looking_at(const fingerprint& f) const
+manager::is_looking_at(const fingerprint& f) const
 {
   return std::any_of(
     unconfirmed_.begin(), unconfirmed_.end(), [&](const auto& d) {
@@ -186,7 +186,7 @@
 }
 
 void
-guard::on_probed(const std::string& key, bool has_ended)
+manager::on_probed(const std::string& key, bool has_ended)
 {
   auto d = std::move(unconfirmed_.at(key));
   unconfirmed_.erase(key);
@@ -204,7 +204,7 @@
 }
 
 void
-guard::note_end(const backends::life& of, const std::vector<fingerprint>& ran)
+manager::note_end(const backends::life& of, const std::vector<fingerprint>& ran)
 {
   auto& r = reopen_report();
   const auto known =
@@ -227,7 +227,7 @@
 }
 
 bool
-guard::is_known_to_have_ended(const backends::life& of) const
+manager::is_known_to_have_ended(const backends::life& of) const
 {
   return std::any_of(
     evidence_.reports.begin(), evidence_.reports.end(), [&](const auto& e) {
@@ -242,7 +242,7 @@
 // brought: one of them that was idle tells. Those that run something are
 // reported with it, by this instance or another.
 void
-guard::look_beside(const backends::life& ended)
+manager::look_beside(const backends::life& ended)
 {
   const auto known = registry_.all.find(ended.id);
   if (known == registry_.all.end()) {
@@ -270,7 +270,7 @@
 }
 
 void
-guard::look_at(const backends::life& of, const std::string& address)
+manager::look_at(const backends::life& of, const std::string& address)
 {
   http::probe(io_, address, probe_ms, [this, of](http::probe_end end) {
     if (end == http::probe_end::refused && !is_known_to_have_ended(of)) {
@@ -285,7 +285,7 @@
 // One answer shows that the request does not end all that run it. Told to all:
 // the ends that it meets at other entries would add up otherwise.
 void
-guard::on_answered(const fingerprint& f)
+manager::on_answered(const fingerprint& f)
 {
   const auto v = judge(f, run_kind::call);
   if (!has_ends(v)) {
@@ -299,7 +299,7 @@
 
 // Its time is that of what was added last.
 report&
-guard::reopen_report()
+manager::reopen_report()
 {
   const auto now = timeline::wall_ms();
   if (open_.name.empty()) {
@@ -313,7 +313,7 @@
 
 // Counts here at once, and for the others when it is written.
 void
-guard::keep_open_report()
+manager::keep_open_report()
 {
   take(evidence_, open_.name, open_.value);
   log_standings();
@@ -332,7 +332,7 @@
 }
 
 void
-guard::flush()
+manager::flush()
 {
   is_flush_due_ = false;
   last_flush_ms_ = http::now_ms();
@@ -349,7 +349,7 @@
 }
 
 void
-guard::write(const std::shared_ptr<unsaved>& u)
+manager::write(const std::shared_ptr<unsaved>& u)
 {
   store::call c;
   c.op = store::operation::create;
@@ -389,7 +389,7 @@
 }
 
 void
-guard::rename(unsaved& u)
+manager::rename(unsaved& u)
 {
   drop(evidence_, u.name);
   ++u.value.at_ms;
@@ -399,7 +399,7 @@
 
 // What is not written yet stands beside what the store has.
 void
-guard::on_list(std::vector<store::object>&& all)
+manager::on_list(std::vector<store::object>&& all)
 {
   evidence_.reports.clear();
   evidence_.changed = true;
@@ -415,7 +415,7 @@
 }
 
 void
-guard::take_object(const store::object& o)
+manager::take_object(const store::object& o)
 {
   auto r = report_from(o.spec);
   if (r) {
@@ -429,7 +429,7 @@
 // Reports that count no more are removed by who wrote them, and by the relays
 // if that instance is gone: the store would keep them for ever.
 void
-guard::tick()
+manager::tick()
 {
   for (const auto& name : expire(evidence_, timeline::wall_ms())) {
     const bool mine = is_reported_by(name, settings_.instance);
@@ -452,7 +452,7 @@
 
 // One that fails is found again when the kind is listed.
 void
-guard::remove(const std::string& name)
+manager::remove(const std::string& name)
 {
   store::call c;
   c.op = store::operation::remove;
@@ -468,7 +468,7 @@
 // One line when a request begins to be kept out, and one when it may be tried
 // again, with what it rests on.
 void
-guard::log_standings()
+manager::log_standings()
 {
   const auto now = timeline::wall_ms();
   auto refused = refused_calls(evidence_, now);
--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -44,13 +44,13 @@
   friend bool operator==(const guard_counts&, const guard_counts&) = default;
 };
 
-class guard
+class manager
 {
 public:
-  guard(asio::io_context& io,
-        store::client& store,
-        const backends::registry& registry,
-        guard_settings s);
+  manager(asio::io_context& io,
+          store::client& store,
+          const backends::registry& registry,
+          guard_settings s);
 
   void start();
 
