--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -38,7 +38,7 @@
 
   instance(asio::io_context& io,
            const std::string& store_address,
-           guard_settings s)
+           manager_settings s)
     : http{ io }
     , store{ io, http, dialect.store, { store_address, {} } }
     , guard{ io, store, registry, std::move(s) }
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -82,7 +82,7 @@
 manager::manager(asio::io_context& io,
                  store::client& store,
                  const backends::registry& registry,
-                 guard_settings s)
+                 manager_settings s)
   : io_{ io }
   , store_{ store }
   , registry_{ registry }
--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -21,7 +21,7 @@
 
 namespace cactusford::quarantine {
 
-struct guard_settings
+struct manager_settings
 {
   std::string instance;
   // Removes what reporters have left behind that are gone.
@@ -50,7 +50,7 @@
   manager(asio::io_context& io,
           store::client& store,
           const backends::registry& registry,
-          guard_settings s);
+          manager_settings s);
 
   void start();
 
@@ -120,7 +120,7 @@
   asio::io_context& io_;
   store::client& store_;
   const backends::registry& registry_;
-  guard_settings settings_;
+  manager_settings settings_;
   store::watcher watcher_;
   asio::steady_timer ticker_;
   asio::steady_timer flusher_;
