--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -29,7 +29,7 @@
   evidence_limits limits = {};
 };
 
-struct guard_counts
+struct manager_counts
 {
   // Connections that were cut while a request ran.
   std::uint64_t cuts = 0;
@@ -41,7 +41,8 @@
   // Requests that were not sent.
   std::uint64_t refusals = 0;
 
-  friend bool operator==(const guard_counts&, const guard_counts&) = default;
+  friend bool operator==(const manager_counts&,
+                         const manager_counts&) = default;
 };
 
 class manager
@@ -82,7 +83,7 @@
   // A backend server ran it and answered.
   void on_answered(const fingerprint& f);
 
-  const guard_counts& counts() const { return counts_; }
+  const manager_counts& counts() const { return counts_; }
   std::size_t reports() const { return evidence_.reports.size(); }
 
 private:
@@ -136,7 +137,7 @@
   bool is_flush_due_ = false;
   // Calls that are kept out, as far as logged.
   std::map<fingerprint, verdict> kept_out_;
-  guard_counts counts_;
+  manager_counts counts_;
   std::mt19937_64 random_{ std::random_device{}() };
 };
 
