--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -124,7 +124,7 @@
   bool is_trial = false;
   bool is_counted = false;
   // What keeps it out, once it is kept out.
-  quarantine::verdict kept_out;
+  quarantine::decision kept_out;
   bool finished = false;
 
   bool is_repeatable() const
@@ -217,10 +217,10 @@
   };
 }
 
-quarantine::verdict
+quarantine::decision
 forwarder::judge(const flight& f)
 {
-  return guard_ == nullptr ? quarantine::verdict{}
+  return guard_ == nullptr ? quarantine::decision{}
                            : guard_->judge(f.work, quarantine::run_kind::call);
 }
 
@@ -230,7 +230,7 @@
 // An attempt that is still out decides the call.
 void
 forwarder::keep_out(const std::shared_ptr<flight>& f,
-                    const quarantine::verdict& v)
+                    const quarantine::decision& v)
 {
   f->kept_out = v;
   if (f->has_open_attempt()) {
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -130,14 +130,15 @@
   struct flight;
   struct attempt;
   void step(const std::shared_ptr<flight>& f);
-  quarantine::verdict judge(const flight& f);
+  quarantine::decision judge(const flight& f);
   bool may_send(const std::shared_ptr<flight>& f);
   bool is_run_by_another(const flight& f) const;
   void wait_and_step(const std::shared_ptr<flight>& f);
   backends::backend* end_attempt(const flight& f, attempt& a);
   void note_begun(flight& f);
   void try_again(const std::shared_ptr<flight>& f);
-  void keep_out(const std::shared_ptr<flight>& f, const quarantine::verdict& v);
+  void keep_out(const std::shared_ptr<flight>& f,
+                const quarantine::decision& v);
   void tell_guard(const flight& f, const attempt& a, const attempt_end& end);
   void send(const std::shared_ptr<flight>& f, backends::backend& b);
   void hedge_later(const std::shared_ptr<flight>& f);
