--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -79,7 +79,8 @@
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
   const auto v = p.guard->judge(work, quarantine::run_kind::call);
-  return quarantine::has_ends(v) && v.what != quarantine::standing::refused;
+  return quarantine::has_ends(v) &&
+         v.what != quarantine::request_status::refused;
 }
 
 // The places that the servers of a route have together.
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -264,8 +264,8 @@
   }
   const auto v = judge(*f);
   switch (v.what) {
-    case quarantine::standing::clear:
-    case quarantine::standing::suspected:
+    case quarantine::request_status::clear:
+    case quarantine::request_status::suspected:
       if (!quarantine::has_ends(v) || !f->attempts.empty()) {
         return true;
       }
@@ -275,14 +275,14 @@
         return false;
       }
       return true;
-    case quarantine::standing::on_trial:
+    case quarantine::request_status::on_trial:
       if (f->attempts.empty()) {
         try_again(f);
       } else {
         keep_out(f, v);
       }
       return false;
-    case quarantine::standing::refused:
+    case quarantine::request_status::refused:
       keep_out(f, v);
       return false;
   }
--- a/cactusford/quarantine/evidence-test.cc
+++ b/cactusford/quarantine/evidence-test.cc
@@ -52,7 +52,7 @@
 
   void answer(const fingerprint& f) { add({ "entry-0", now, {}, { f } }); }
 
-  standing of(const fingerprint& f, run_kind kind = run_kind::call)
+  request_status of(const fingerprint& f, run_kind kind = run_kind::call)
   {
     return judge(e, f, kind, now).what;
   }
@@ -66,19 +66,19 @@
 Test(quarantine, adds_up_what_entries_have_seen_once_each)
 {
   story s;
-  cr_assert(s.of(poisonous) == standing::clear);
+  cr_assert(s.of(poisonous) == request_status::clear);
   s.end("a", { poisonous }, "entry-0");
   s.end("b", { poisonous }, "entry-1");
-  cr_assert(s.of(poisonous) == standing::suspected);
+  cr_assert(s.of(poisonous) == request_status::suspected);
   s.end("c", { poisonous }, "entry-2");
-  cr_assert(s.of(poisonous) == standing::refused);
+  cr_assert(s.of(poisonous) == request_status::refused);
   SECTION("a life that two entries saw end has ended once")
   {
     story t;
     t.end("a", { bystander }, "entry-0");
     t.end("a", { bystander }, "entry-1");
     t.end("b", { bystander }, "entry-0");
-    cr_assert(t.of(bystander) == standing::suspected);
+    cr_assert(t.of(bystander) == request_status::suspected);
     cr_assert_eq(judge(t.e, bystander, run_kind::call, t.now).ends, 2);
   }
 }
@@ -94,7 +94,7 @@
     s.now += second_ms;
     s.answer(bystander);
     s.now += second_ms;
-    cr_assert(s.of(bystander) == standing::clear);
+    cr_assert(s.of(bystander) == request_status::clear);
   }
 }
 
@@ -107,19 +107,19 @@
   s.end("a", { poisonous, bystander });
   s.end("b", { poisonous });
   s.end("c", { poisonous });
-  cr_assert(s.of(poisonous) == standing::refused);
-  cr_assert(s.of(bystander) == standing::clear);
+  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(bystander) == request_status::clear);
   SECTION("nor one that died once more by chance")
   {
     story t;
     t.end("a", { poisonous, bystander });
     t.end("b", { poisonous, bystander });
     t.end("c", { bystander });
-    cr_assert(t.of(bystander) == standing::suspected);
+    cr_assert(t.of(bystander) == request_status::suspected);
     t.end("d", { poisonous });
     t.end("e", { poisonous });
-    cr_assert(t.of(poisonous) == standing::refused);
-    cr_assert(t.of(bystander) == standing::suspected);
+    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(bystander) == request_status::suspected);
   }
   SECTION("two that always ran together: the next end tells")
   {
@@ -127,11 +127,11 @@
     for (const auto* backend : { "a", "b", "c" }) {
       t.end(backend, { poisonous, bystander });
     }
-    cr_assert(t.of(poisonous) == standing::suspected);
-    cr_assert(t.of(bystander) == standing::suspected);
+    cr_assert(t.of(poisonous) == request_status::suspected);
+    cr_assert(t.of(bystander) == request_status::suspected);
     t.end("d", { poisonous });
-    cr_assert(t.of(poisonous) == standing::refused);
-    cr_assert(t.of(bystander) == standing::clear);
+    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(bystander) == request_status::clear);
   }
   SECTION("or shows that both are kept out, rather than neither for ever")
   {
@@ -139,8 +139,8 @@
     for (const auto* backend : { "a", "b", "c", "d" }) {
       t.end(backend, { poisonous, bystander });
     }
-    cr_assert(t.of(poisonous) == standing::refused);
-    cr_assert(t.of(bystander) == standing::refused);
+    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(bystander) == request_status::refused);
   }
   SECTION("two poisonous ones are both found")
   {
@@ -149,8 +149,8 @@
       t.end(backend, { poisonous });
       t.end(std::string{ backend } + "2", { bystander });
     }
-    cr_assert(t.of(poisonous) == standing::refused);
-    cr_assert(t.of(bystander) == standing::refused);
+    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(bystander) == request_status::refused);
   }
 }
 
@@ -178,10 +178,10 @@
       t.end(std::string{ round } + "1", { bystander });
       t.end_now(std::string{ round } + "2", {});
     }
-    cr_assert(t.of(bystander) == standing::clear);
+    cr_assert(t.of(bystander) == request_status::clear);
     // Another entry tells that it was not idle.
     t.end_now("d2", { poisonous }, "entry-1");
-    cr_assert(t.of(bystander) == standing::suspected);
+    cr_assert(t.of(bystander) == request_status::suspected);
   }
   SECTION("nor a request that ran on three of its servers, beside others")
   {
@@ -198,7 +198,7 @@
     for (const auto* backend : { "a", "b", "c" }) {
       t.end_now(backend, { poisonous });
     }
-    cr_assert(t.of(poisonous) == standing::refused);
+    cr_assert(t.of(poisonous) == request_status::refused);
   }
 }
 
@@ -213,7 +213,7 @@
   for (const auto* backend : { "a", "b", "c", "d" }) {
     s.end(backend, { poisonous, third });
   }
-  cr_assert(s.of(poisonous) == standing::refused);
+  cr_assert(s.of(poisonous) == request_status::refused);
   SECTION("one that was beside them three times may run")
   {
     story t;
@@ -222,11 +222,11 @@
       t.end(backend, { poisonous, bystander });
     }
     const auto v = judge(t.e, bystander, run_kind::call, t.now);
-    cr_assert(v.what == standing::clear);
+    cr_assert(v.what == request_status::clear);
     cr_assert_eq(v.explained, 3);
     cr_assert(has_ends(v), "one run at a time");
     t.end("e", { poisonous, bystander });
-    cr_assert(t.of(bystander) == standing::refused);
+    cr_assert(t.of(bystander) == request_status::refused);
   }
   SECTION("one answer clears it of all")
   {
@@ -251,7 +251,7 @@
     end_at(std::string{ round } + "1", s.now - 100);
     s.end_now(std::string{ round } + "2", {}, "entry-1");
   }
-  cr_assert(s.of(poisonous) == standing::refused);
+  cr_assert(s.of(poisonous) == request_status::refused);
   SECTION("six that ended with it are enough too")
   {
     story t;
@@ -259,10 +259,10 @@
       t.end(std::string{ round } + "1", { poisonous });
       t.end_now(std::string{ round } + "2", {});
     }
-    cr_assert(t.of(poisonous) == standing::clear);
+    cr_assert(t.of(poisonous) == request_status::clear);
     t.end("f1", { poisonous });
     t.end_now("f2", {});
-    cr_assert(t.of(poisonous) == standing::refused);
+    cr_assert(t.of(poisonous) == request_status::refused);
   }
 }
 
@@ -272,10 +272,10 @@
   for (const auto* backend : { "a", "b", "c", "d" }) {
     s.end(backend, { poisonous });
   }
-  cr_assert(s.of(poisonous) == standing::refused);
-  cr_assert(s.of(poisonous, run_kind::item) == standing::suspected);
+  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous, run_kind::item) == request_status::suspected);
   s.end("e", { poisonous });
-  cr_assert(s.of(poisonous, run_kind::item) == standing::refused);
+  cr_assert(s.of(poisonous, run_kind::item) == request_status::refused);
 }
 
 Test(quarantine, forgets_in_steps)
@@ -289,14 +289,14 @@
   SECTION("kept out for ten minutes")
   {
     s.now += 10 * minute_ms - 1;
-    cr_assert(s.of(poisonous) == standing::refused);
+    cr_assert(s.of(poisonous) == request_status::refused);
   }
   SECTION("then tried again, by one alone, and kept out by one end more")
   {
     s.now += 1;
-    cr_assert(s.of(poisonous) == standing::on_trial);
+    cr_assert(s.of(poisonous) == request_status::on_trial);
     s.try_again(poisonous);
-    cr_assert(s.of(poisonous) == standing::refused);
+    cr_assert(s.of(poisonous) == request_status::refused);
     s.end("d", { poisonous });
     cr_assert_eq(judge(s.e, poisonous, run_kind::call, s.now).until_ms,
                  s.now + 10 * minute_ms);
@@ -305,13 +305,13 @@
   {
     s.now += 10 * minute_ms;
     s.answer(poisonous);
-    cr_assert(s.of(poisonous) == standing::clear);
+    cr_assert(s.of(poisonous) == request_status::clear);
   }
   SECTION("after an hour nothing is left of it")
   {
     s.now += 60 * minute_ms + 1;
     cr_assert_eq(expire(s.e, s.now).size(), 6);
-    cr_assert(s.of(poisonous) == standing::clear);
+    cr_assert(s.of(poisonous) == request_status::clear);
     cr_assert(s.e.reports.empty());
   }
 }
@@ -327,8 +327,9 @@
   cr_assert_eq(s.e.reports.size(), s.e.limits.reports);
   SECTION("the oldest go first")
   {
-    cr_assert(s.of("work-0") == standing::clear);
-    cr_assert(s.of("work-" + std::to_string(many - 1)) == standing::suspected);
+    cr_assert(s.of("work-0") == request_status::clear);
+    cr_assert(s.of("work-" + std::to_string(many - 1)) ==
+              request_status::suspected);
   }
 }
 
@@ -381,7 +382,7 @@
     for (auto beside = below(4); beside > 0; --beside) {
       ran.push_back(std::to_string(1'000'000'000'000'000 + below(300)));
     }
-    if (below(4) == 0 && s.of(poisonous) != standing::refused) {
+    if (below(4) == 0 && s.of(poisonous) != request_status::refused) {
       ++t.ends;
       ran.push_back(poisonous);
       if (below(2) == 0) {
--- a/cactusford/quarantine/evidence.cc
+++ b/cactusford/quarantine/evidence.cc
@@ -89,7 +89,8 @@
   const auto& s = found->second;
   const auto explained = s.explained + s.beside_idle;
   if (!is_enough(e.limits, s, kind)) {
-    const auto what = s.ends > 0 ? standing::suspected : standing::clear;
+    const auto what =
+      s.ends > 0 ? request_status::suspected : request_status::clear;
     return { what, s.ends, explained, 0 };
   }
   const auto until = s.last_end_ms + e.limits.refuse_ms;
@@ -97,10 +98,10 @@
   const auto trial_until = tried ? s.last_trial_ms + e.limits.trial_ms : 0;
   if (now_ms < std::max(until, trial_until)) {
     return {
-      standing::refused, s.ends, explained, std::max(until, trial_until)
+      request_status::refused, s.ends, explained, std::max(until, trial_until)
     };
   }
-  return { standing::on_trial, s.ends, explained, 0 };
+  return { request_status::on_trial, s.ends, explained, 0 };
 }
 
 std::map<fingerprint, verdict>
@@ -110,7 +111,7 @@
   std::map<fingerprint, verdict> refused;
   for (const auto& [work, s] : e.suspicions) {
     const auto v = judge(e, work, run_kind::call, now_ms);
-    if (v.what == standing::refused) {
+    if (v.what == request_status::refused) {
       refused[work] = v;
     }
   }
--- a/cactusford/quarantine/evidence.h
+++ b/cactusford/quarantine/evidence.h
@@ -37,7 +37,7 @@
 std::vector<std::string>
 expire(evidence& e, std::uint64_t now_ms);
 
-enum class standing
+enum class request_status
 {
   // No backend server has ended under it that nothing else explains.
   clear,
@@ -52,7 +52,7 @@
 
 struct verdict
 {
-  standing what = standing::clear;
+  request_status what = request_status::clear;
   std::uint32_t ends = 0;
   // Ends beside those that another request, or another cause, explains.
   std::uint32_t explained = 0;
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -87,7 +87,8 @@
   instance b{ w.io, w.store.address(), { "b", false } };
   w.run_until([&] { return a.guard.is_current() && b.guard.is_current(); });
   const auto is_kept_out = [](instance& i) {
-    return i.guard.judge(poisonous, run_kind::call).what == standing::refused;
+    return i.guard.judge(poisonous, run_kind::call).what ==
+           request_status::refused;
   };
   for (int i = 0; i < 3; ++i) {
     w.end_under(a, poisonous);
@@ -110,7 +111,8 @@
   w.run_until([&] { return w.reports() > 0; });
   cr_assert_eq(a.guard.counts().cuts, 2);
   cr_assert_eq(a.guard.counts().ends, 1);
-  cr_assert(a.guard.judge(poisonous, run_kind::call).what == standing::clear);
+  cr_assert(a.guard.judge(poisonous, run_kind::call).what ==
+            request_status::clear);
 }
 
 // The store is away for long while servers end. What is seen waits, as much as
--- a/cactusford/quarantine/scenarios-test.cc
+++ b/cactusford/quarantine/scenarios-test.cc
@@ -197,8 +197,9 @@
     if (up.empty()) {
       return;
     }
-    const bool kept_out = v.what == standing::refused ||
-                          (v.what == standing::on_trial && !claim(r.work));
+    const bool kept_out =
+      v.what == request_status::refused ||
+      (v.what == request_status::on_trial && !claim(r.work));
     if (kept_out) {
       outcome_.others_refused += r.is_poisonous ? 0 : 1;
       return;
