--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -282,7 +282,7 @@
         keep_out(f, v);
       }
       return false;
-    case quarantine::request_status::refused:
+    case quarantine::request_status::quarantined:
       keep_out(f, v);
       return false;
   }
--- a/cactusford/quarantine/evidence-test.cc
+++ b/cactusford/quarantine/evidence-test.cc
@@ -71,7 +71,7 @@
   s.end("b", { poisonous }, "entry-1");
   cr_assert(s.of(poisonous) == request_status::suspected);
   s.end("c", { poisonous }, "entry-2");
-  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous) == request_status::quarantined);
   SECTION("a life that two entries saw end has ended once")
   {
     story t;
@@ -107,7 +107,7 @@
   s.end("a", { poisonous, bystander });
   s.end("b", { poisonous });
   s.end("c", { poisonous });
-  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous) == request_status::quarantined);
   cr_assert(s.of(bystander) == request_status::clear);
   SECTION("nor one that died once more by chance")
   {
@@ -118,7 +118,7 @@
     cr_assert(t.of(bystander) == request_status::suspected);
     t.end("d", { poisonous });
     t.end("e", { poisonous });
-    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
     cr_assert(t.of(bystander) == request_status::suspected);
   }
   SECTION("two that always ran together: the next end tells")
@@ -130,7 +130,7 @@
     cr_assert(t.of(poisonous) == request_status::suspected);
     cr_assert(t.of(bystander) == request_status::suspected);
     t.end("d", { poisonous });
-    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
     cr_assert(t.of(bystander) == request_status::clear);
   }
   SECTION("or shows that both are kept out, rather than neither for ever")
@@ -139,8 +139,8 @@
     for (const auto* backend : { "a", "b", "c", "d" }) {
       t.end(backend, { poisonous, bystander });
     }
-    cr_assert(t.of(poisonous) == request_status::refused);
-    cr_assert(t.of(bystander) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
+    cr_assert(t.of(bystander) == request_status::quarantined);
   }
   SECTION("two poisonous ones are both found")
   {
@@ -149,8 +149,8 @@
       t.end(backend, { poisonous });
       t.end(std::string{ backend } + "2", { bystander });
     }
-    cr_assert(t.of(poisonous) == request_status::refused);
-    cr_assert(t.of(bystander) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
+    cr_assert(t.of(bystander) == request_status::quarantined);
   }
 }
 
@@ -198,7 +198,7 @@
     for (const auto* backend : { "a", "b", "c" }) {
       t.end_now(backend, { poisonous });
     }
-    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
   }
 }
 
@@ -213,7 +213,7 @@
   for (const auto* backend : { "a", "b", "c", "d" }) {
     s.end(backend, { poisonous, third });
   }
-  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous) == request_status::quarantined);
   SECTION("one that was beside them three times may run")
   {
     story t;
@@ -226,7 +226,7 @@
     cr_assert_eq(v.explained, 3);
     cr_assert(has_ends(v), "one run at a time");
     t.end("e", { poisonous, bystander });
-    cr_assert(t.of(bystander) == request_status::refused);
+    cr_assert(t.of(bystander) == request_status::quarantined);
   }
   SECTION("one answer clears it of all")
   {
@@ -251,7 +251,7 @@
     end_at(std::string{ round } + "1", s.now - 100);
     s.end_now(std::string{ round } + "2", {}, "entry-1");
   }
-  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous) == request_status::quarantined);
   SECTION("six that ended with it are enough too")
   {
     story t;
@@ -262,7 +262,7 @@
     cr_assert(t.of(poisonous) == request_status::clear);
     t.end("f1", { poisonous });
     t.end_now("f2", {});
-    cr_assert(t.of(poisonous) == request_status::refused);
+    cr_assert(t.of(poisonous) == request_status::quarantined);
   }
 }
 
@@ -272,10 +272,10 @@
   for (const auto* backend : { "a", "b", "c", "d" }) {
     s.end(backend, { poisonous });
   }
-  cr_assert(s.of(poisonous) == request_status::refused);
+  cr_assert(s.of(poisonous) == request_status::quarantined);
   cr_assert(s.of(poisonous, run_kind::item) == request_status::suspected);
   s.end("e", { poisonous });
-  cr_assert(s.of(poisonous, run_kind::item) == request_status::refused);
+  cr_assert(s.of(poisonous, run_kind::item) == request_status::quarantined);
 }
 
 Test(quarantine, forgets_in_steps)
@@ -289,14 +289,14 @@
   SECTION("kept out for ten minutes")
   {
     s.now += 10 * minute_ms - 1;
-    cr_assert(s.of(poisonous) == request_status::refused);
+    cr_assert(s.of(poisonous) == request_status::quarantined);
   }
   SECTION("then tried again, by one alone, and kept out by one end more")
   {
     s.now += 1;
     cr_assert(s.of(poisonous) == request_status::on_trial);
     s.try_again(poisonous);
-    cr_assert(s.of(poisonous) == request_status::refused);
+    cr_assert(s.of(poisonous) == request_status::quarantined);
     s.end("d", { poisonous });
     cr_assert_eq(judge(s.e, poisonous, run_kind::call, s.now).until_ms,
                  s.now + 10 * minute_ms);
@@ -382,7 +382,7 @@
     for (auto beside = below(4); beside > 0; --beside) {
       ran.push_back(std::to_string(1'000'000'000'000'000 + below(300)));
     }
-    if (below(4) == 0 && s.of(poisonous) != request_status::refused) {
+    if (below(4) == 0 && s.of(poisonous) != request_status::quarantined) {
       ++t.ends;
       ran.push_back(poisonous);
       if (below(2) == 0) {
--- a/cactusford/quarantine/evidence.cc
+++ b/cactusford/quarantine/evidence.cc
@@ -97,9 +97,10 @@
   const bool tried = s.last_trial_ms > s.last_end_ms;
   const auto trial_until = tried ? s.last_trial_ms + e.limits.trial_ms : 0;
   if (now_ms < std::max(until, trial_until)) {
-    return {
-      request_status::refused, s.ends, explained, std::max(until, trial_until)
-    };
+    return { request_status::quarantined,
+             s.ends,
+             explained,
+             std::max(until, trial_until) };
   }
   return { request_status::on_trial, s.ends, explained, 0 };
 }
@@ -111,7 +112,7 @@
   std::map<fingerprint, verdict> refused;
   for (const auto& [work, s] : e.suspicions) {
     const auto v = judge(e, work, run_kind::call, now_ms);
-    if (v.what == request_status::refused) {
+    if (v.what == request_status::quarantined) {
       refused[work] = v;
     }
   }
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -88,7 +88,7 @@
   w.run_until([&] { return a.guard.is_current() && b.guard.is_current(); });
   const auto is_kept_out = [](instance& i) {
     return i.guard.judge(poisonous, run_kind::call).what ==
-           request_status::refused;
+           request_status::quarantined;
   };
   for (int i = 0; i < 3; ++i) {
     w.end_under(a, poisonous);
--- a/cactusford/quarantine/scenarios-test.cc
+++ b/cactusford/quarantine/scenarios-test.cc
@@ -198,7 +198,7 @@
       return;
     }
     const bool kept_out =
-      v.what == request_status::refused ||
+      v.what == request_status::quarantined ||
       (v.what == request_status::on_trial && !claim(r.work));
     if (kept_out) {
       outcome_.others_refused += r.is_poisonous ? 0 : 1;
