--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -80,7 +80,7 @@
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
   const auto v = p.guard->judge(work, quarantine::run_kind::call);
   return quarantine::has_ends(v) &&
-         v.what != quarantine::request_status::quarantined;
+         v.status != quarantine::request_status::quarantined;
 }
 
 // The places that the servers of a route have together.
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -229,7 +229,7 @@
     return false;
   }
   const auto v = p.guard->judge(i.work, quarantine::run_kind::item);
-  if (v.what != quarantine::request_status::quarantined) {
+  if (v.status != quarantine::request_status::quarantined) {
     return false;
   }
   p.guard->note_refused();
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -263,7 +263,7 @@
     return true;
   }
   const auto v = judge(*f);
-  switch (v.what) {
+  switch (v.status) {
     case quarantine::request_status::clear:
     case quarantine::request_status::suspected:
       if (!quarantine::has_ends(v) || !f->attempts.empty()) {
