--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -78,7 +78,7 @@
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto v = p.guard->judge(work, quarantine::run_kind::call);
+  const auto v = p.guard->evaluate(work, quarantine::run_kind::call);
   return quarantine::has_ends(v) &&
          v.status != quarantine::request_status::quarantined;
 }
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -228,7 +228,7 @@
   if (p.guard == nullptr) {
     return false;
   }
-  const auto v = p.guard->judge(i.work, quarantine::run_kind::item);
+  const auto v = p.guard->evaluate(i.work, quarantine::run_kind::item);
   if (v.status != quarantine::request_status::quarantined) {
     return false;
   }
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -220,8 +220,9 @@
 quarantine::decision
 forwarder::judge(const flight& f)
 {
-  return guard_ == nullptr ? quarantine::decision{}
-                           : guard_->judge(f.work, quarantine::run_kind::call);
+  return guard_ == nullptr
+           ? quarantine::decision{}
+           : guard_->evaluate(f.work, quarantine::run_kind::call);
 }
 
 // Without this a request that ends each backend server that runs it takes all
