--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -294,7 +294,7 @@
 bool
 forwarder::is_run_by_another(const flight& f) const
 {
-  return running_.contains(f.work) || guard_->is_looking_at(f.work);
+  return running_.contains(f.work) || guard_->is_probing(f.work);
 }
 
 // A suspect that comes several times at once would end a server each time
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -176,7 +176,7 @@
 }
 
 bool
-manager::is_looking_at(const fingerprint& f) const
+manager::is_probing(const fingerprint& f) const
 {
   return std::any_of(
     unconfirmed_.begin(), unconfirmed_.end(), [&](const auto& d) {
--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -78,7 +78,7 @@
               const fingerprint& f);
 
   // A run of it was cut, and it is not known yet whether its server has ended.
-  bool is_looking_at(const fingerprint& f) const;
+  bool is_probing(const fingerprint& f) const;
 
   // A backend server ran it and answered.
   void on_answered(const fingerprint& f);
