--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -253,7 +253,7 @@
   const bool settled =
     i.events_in_run > 0 && now - i.first_event_ms > settled_run_ms;
   if (end == http::end_state::cut && !settled) {
-    p.guard->on_cut(i.backend, i.address, i.work);
+    p.guard->on_connection_lost(i.backend, i.address, i.work);
   } else if (end == http::end_state::complete && !i.not_run) {
     p.guard->on_answered(i.work);
   }
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -309,7 +309,7 @@
   SECTION("with one end held against it")
   {
     // Nothing listens on the discard port of this machine.
-    guard.on_cut({ "ended", 1 }, "127.0.0.1:9", work);
+    guard.on_connection_lost({ "ended", 1 }, "127.0.0.1:9", work);
     while (guard.counts().ends == 0) {
       io.run_one();
     }
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -249,7 +249,7 @@
     return;
   }
   if (end.state == http::end_state::cut) {
-    guard_->on_cut(a.backend, a.address, f.work);
+    guard_->on_connection_lost(a.backend, a.address, f.work);
   } else if (end.state == http::end_state::complete && end.is_signed &&
              !end.not_run) {
     guard_->on_answered(f.work);
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -66,7 +66,8 @@
   void end_under(instance& i, const fingerprint& f)
   {
     const auto before = i.guard.counts().ends;
-    i.guard.on_cut({ "server-" + std::to_string(lives++), 1 }, closed, f);
+    i.guard.on_connection_lost(
+      { "server-" + std::to_string(lives++), 1 }, closed, f);
     run_until([&] { return i.guard.counts().ends > before; });
   }
 
@@ -106,7 +107,7 @@
   world w;
   instance a{ w.io, w.store.address(), { "a", false } };
   w.run_until([&] { return a.guard.is_current(); });
-  a.guard.on_cut({ "server", 1 }, w.store.address(), poisonous);
+  a.guard.on_connection_lost({ "server", 1 }, w.store.address(), poisonous);
   w.end_under(a, "00000000000000bb");
   w.run_until([&] { return w.reports() > 0; });
   cr_assert_eq(a.guard.counts().cuts, 2);
