--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -79,7 +79,7 @@
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
   const auto v = p.guard->evaluate(work, quarantine::run_kind::call);
-  return quarantine::has_ends(v) &&
+  return quarantine::has_crashes(v) &&
          v.status != quarantine::request_status::quarantined;
 }
 
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -267,7 +267,7 @@
   switch (v.status) {
     case quarantine::request_status::clear:
     case quarantine::request_status::suspected:
-      if (!quarantine::has_ends(v) || !f->attempts.empty()) {
+      if (!quarantine::has_crashes(v) || !f->attempts.empty()) {
         return true;
       }
       f->is_suspect = true;
@@ -450,7 +450,7 @@
   f->hedge->async_wait([this, f](asio::error_code ec) {
     // Two attempts of a suspect would end two backend servers at a time.
     if (!ec && !f->finished && f->runs < f->ask.route.max_attempts &&
-        f->tried.size() < max_tries && !quarantine::has_ends(judge(*f)) &&
+        f->tried.size() < max_tries && !quarantine::has_crashes(judge(*f)) &&
         take_second_attempt(second_[f->ask.route.path_prefix])) {
       step(f);
     }
--- a/cactusford/quarantine/evidence-test.cc
+++ b/cactusford/quarantine/evidence-test.cc
@@ -224,7 +224,7 @@
     const auto v = judge(t.e, bystander, run_kind::call, t.now);
     cr_assert(v.what == request_status::clear);
     cr_assert_eq(v.explained, 3);
-    cr_assert(has_ends(v), "one run at a time");
+    cr_assert(has_crashes(v), "one run at a time");
     t.end("e", { poisonous, bystander });
     cr_assert(t.of(bystander) == request_status::quarantined);
   }
@@ -232,7 +232,7 @@
   {
     s.now += second_ms;
     s.answer(third);
-    cr_assert_not(has_ends(judge(s.e, third, run_kind::call, s.now)));
+    cr_assert_not(has_crashes(judge(s.e, third, run_kind::call, s.now)));
   }
 }
 
--- a/cactusford/quarantine/evidence.cc
+++ b/cactusford/quarantine/evidence.cc
@@ -73,7 +73,7 @@
 }
 
 bool
-has_ends(const verdict& v) noexcept
+has_crashes(const verdict& v) noexcept
 {
   return v.ends + v.explained > 0;
 }
--- a/cactusford/quarantine/evidence.h
+++ b/cactusford/quarantine/evidence.h
@@ -65,7 +65,7 @@
 // Servers have ended under it, explained or not, and none has answered since.
 // It runs once at a time at each instance, and not again after an end.
 bool
-has_ends(const verdict& v) noexcept;
+has_crashes(const verdict& v) noexcept;
 
 verdict
 judge(evidence& e, const fingerprint& f, run_kind kind, std::uint64_t now_ms);
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -288,7 +288,7 @@
 manager::on_answered(const fingerprint& f)
 {
   const auto v = judge(f, run_kind::call);
-  if (!has_ends(v)) {
+  if (!has_crashes(v)) {
     return;
   }
   process::log_line(
--- a/cactusford/quarantine/scenarios-test.cc
+++ b/cactusford/quarantine/scenarios-test.cc
@@ -180,7 +180,7 @@
   void send(run r)
   {
     const auto v = judge(known_, r.work, run_kind::call, now_);
-    const bool is_suspect = has_ends(v);
+    const bool is_suspect = has_crashes(v);
     if (is_suspect && runs_at_entry(r)) {
       waiting_.push_back(r);
       return;
@@ -304,7 +304,7 @@
   void answer(const run& r)
   {
     const auto v = judge(known_, r.work, run_kind::call, now_);
-    if (has_ends(v)) {
+    if (has_crashes(v)) {
       tell({ "entry", now_, {}, { r.work } });
     }
     std::erase_if(runs_, [&](const run& each) {
