--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -237,7 +237,7 @@
                       .with("request", b.submission.items[i.index].id)
                       .with("work", i.work)
                       .with("batch", b.stored.id)
-                      .with("ends", v.ends)
+                      .with("ends", v.crashes)
                       .with("until_ms", v.until_ms));
   return true;
 }
