--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -308,7 +308,7 @@
 {
   const auto& c = guard.counts();
   metrics.set("run_cuts", static_cast<double>(c.cuts));
-  metrics.set("backend_ends", static_cast<double>(c.ends));
+  metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
   metrics.set("end_reports_known", static_cast<double>(guard.reports()));
