--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -307,7 +307,7 @@
 edge_process::show_guard()
 {
   const auto& c = guard.counts();
-  metrics.set("run_cuts", static_cast<double>(c.cuts));
+  metrics.set("run_cuts", static_cast<double>(c.connections_lost));
   metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
