--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -310,7 +310,7 @@
   {
     // Nothing listens on the discard port of this machine.
     guard.on_connection_lost({ "ended", 1 }, "127.0.0.1:9", work);
-    while (guard.counts().ends == 0) {
+    while (guard.counts().crashes == 0) {
       io.run_one();
     }
     call();
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -65,10 +65,10 @@
 
   void end_under(instance& i, const fingerprint& f)
   {
-    const auto before = i.guard.counts().ends;
+    const auto before = i.guard.counts().crashes;
     i.guard.on_connection_lost(
       { "server-" + std::to_string(lives++), 1 }, closed, f);
-    run_until([&] { return i.guard.counts().ends > before; });
+    run_until([&] { return i.guard.counts().crashes > before; });
   }
 
   std::size_t reports() const
@@ -111,7 +111,7 @@
   w.end_under(a, "00000000000000bb");
   w.run_until([&] { return w.reports() > 0; });
   cr_assert_eq(a.guard.counts().cuts, 2);
-  cr_assert_eq(a.guard.counts().ends, 1);
+  cr_assert_eq(a.guard.counts().crashes, 1);
   cr_assert(a.guard.judge(poisonous, run_kind::call).what ==
             request_status::clear);
 }
