--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -42,7 +42,7 @@
 
   // The present run.
   std::uint64_t run = 0;
-  backends::life backend;
+  backends::incarnation backend;
   std::string address;
   http::pending sent;
   event_reader reader{ "" };
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -485,7 +485,7 @@
     on_broken_backend({ c.value.name, a.fault });
     return;
   }
-  const backends::life of{ a->id, a->started_ms };
+  const backends::incarnation of{ a->id, a->started_ms };
   log_life({ of, backends::announce(registry, std::move(*a)) });
 }
 
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -96,7 +96,7 @@
 struct forwarder::attempt
 {
   http::pending sent;
-  backends::life backend;
+  backends::incarnation backend;
   std::string address;
   std::uint64_t at_ms = 0;
   bool ended = false;
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -51,7 +51,7 @@
 constexpr std::size_t removals_at_once = 2;
 
 std::string
-key_of(const backends::life& l)
+key_of(const backends::incarnation& l)
 {
   return l.id + "@" + std::to_string(l.started_ms);
 }
@@ -151,7 +151,7 @@
 // Ends of a connection are many, ends of a process few. Counted alike, resets
 // and lost answers would make suspects of requests that run well.
 void
-manager::on_cut(const backends::life& of,
+manager::on_cut(const backends::incarnation& of,
                 const std::string& address,
                 const fingerprint& f)
 {
@@ -204,7 +204,8 @@
 }
 
 void
-manager::note_end(const backends::life& of, const std::vector<fingerprint>& ran)
+manager::note_end(const backends::incarnation& of,
+                  const std::vector<fingerprint>& ran)
 {
   auto& r = reopen_report();
   const auto known =
@@ -227,7 +228,7 @@
 }
 
 bool
-manager::is_known_to_have_ended(const backends::life& of) const
+manager::is_known_to_have_ended(const backends::incarnation& of) const
 {
   return std::any_of(
     evidence_.reports.begin(), evidence_.reports.end(), [&](const auto& e) {
@@ -242,7 +243,7 @@
 // brought: one of them that was idle tells. Those that run something are
 // reported with it, by this instance or another.
 void
-manager::look_beside(const backends::life& ended)
+manager::look_beside(const backends::incarnation& ended)
 {
   const auto known = registry_.all.find(ended.id);
   if (known == registry_.all.end()) {
@@ -270,7 +271,7 @@
 }
 
 void
-manager::look_at(const backends::life& of, const std::string& address)
+manager::look_at(const backends::incarnation& of, const std::string& address)
 {
   http::probe(io_, address, probe_ms, [this, of](http::probe_end end) {
     if (end == http::probe_end::refused && !is_known_to_have_ended(of)) {
--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -73,7 +73,7 @@
 
   // The connection of a run ended without a whole answer. The backend server
   // is looked at: an end of its process counts, a reset or a lost answer not.
-  void on_cut(const backends::life& of,
+  void on_cut(const backends::incarnation& of,
               const std::string& address,
               const fingerprint& f);
 
@@ -90,7 +90,7 @@
   // A life that may have ended, and what ran there.
   struct unconfirmed_end
   {
-    backends::life of;
+    backends::incarnation of;
     std::vector<fingerprint> ran;
   };
 
@@ -103,10 +103,11 @@
   };
 
   void on_probed(const std::string& key, bool has_ended);
-  void look_beside(const backends::life& ended);
-  void look_at(const backends::life& of, const std::string& address);
-  void note_end(const backends::life& of, const std::vector<fingerprint>& ran);
-  bool is_known_to_have_ended(const backends::life& of) const;
+  void look_beside(const backends::incarnation& ended);
+  void look_at(const backends::incarnation& of, const std::string& address);
+  void note_end(const backends::incarnation& of,
+                const std::vector<fingerprint>& ran);
+  bool is_known_to_have_ended(const backends::incarnation& of) const;
   report& reopen_report();
   void keep_open_report();
   void flush();
