--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -231,7 +231,7 @@
   registry r;
   announce(r, engine_of_life(1000, 7));
   auto* b = find(r, "a");
-  const auto before = life_of(*b);
+  const auto before = incarnation_of(*b);
   b->in_flight = 8;
   note_failure(*b, 50);
   note_refusal(*b, "m", 50);
@@ -244,7 +244,7 @@
   SECTION("ends of the old runs are not counted into the new life")
   {
     cr_assert_null(find(r, before));
-    cr_assert_not_null(find(r, life_of(*b)));
+    cr_assert_not_null(find(r, incarnation_of(*b)));
   }
   SECTION("an entry that tells of no life is another writer's here")
   {
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -204,7 +204,7 @@
 }
 
 life
-life_of(const backend& b)
+incarnation_of(const backend& b)
 {
   return { b.said.id, b.said.started_ms };
 }
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -135,7 +135,7 @@
 find(registry& r, const std::string& id);
 
 life
-life_of(const backend& b);
+incarnation_of(const backend& b);
 
 // The backend server, if it is still in that life. Requests that were sent in
 // an earlier one say nothing of this one.
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -181,7 +181,7 @@
   }
   i.stage = item_stage::running;
   i.run = next_run++;
-  i.backend = backends::life_of(*backend);
+  i.backend = backends::incarnation_of(*backend);
   i.address = backend->said.address;
   i.started_ms = now;
   i.last_event_ms = now;
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -405,7 +405,7 @@
   const auto now = http::now_ms();
   f->tried.push_back(b.said.id);
   f->attempts.push_back(
-    { {}, backends::life_of(b), b.said.address, now, false });
+    { {}, backends::incarnation_of(b), b.said.address, now, false });
   process::log_line(
     timeline::event{ "call_sent" }
       .with("request", f->ask.id)
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -259,7 +259,7 @@
   std::shuffle(peers.begin(), peers.end(), random_);
   std::size_t looked_at = 0;
   for (const auto* b : peers) {
-    const auto of = backends::life_of(*b);
+    const auto of = backends::incarnation_of(*b);
     if (unconfirmed_.contains(key_of(of)) || is_known_to_have_ended(of)) {
       continue;
     }
