--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -157,7 +157,7 @@
   expire(r, now_ms);
 }
 
-std::vector<life_change>
+std::vector<incarnation_change>
 replace_all(registry& r, std::vector<announcement> list, std::uint64_t now_ms)
 {
   for (auto& entry : r.all) {
@@ -173,7 +173,7 @@
   // Those that tell of a life first: whether most do is then known.
   std::stable_partition(
     list.begin(), list.end(), [](const auto& a) { return a.started_ms != 0; });
-  std::vector<life_change> changes;
+  std::vector<incarnation_change> changes;
   for (auto& a : list) {
     const life of{ a.id, a.started_ms };
     const auto what = announce(r, std::move(a));
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -104,12 +104,13 @@
 std::string_view
 name_of(announced a) noexcept;
 
-struct life_change
+struct incarnation_change
 {
   life of;
   announced what = announced::same_life;
 
-  friend bool operator==(const life_change&, const life_change&) = default;
+  friend bool operator==(const incarnation_change&,
+                         const incarnation_change&) = default;
 };
 
 announced
@@ -124,7 +125,7 @@
 drop(registry& r, const std::string& id);
 
 // Takes in a whole list. Returns the lives that began or had ended.
-std::vector<life_change>
+std::vector<incarnation_change>
 replace_all(registry& r, std::vector<announcement> list, std::uint64_t now_ms);
 
 // Forgets what has been missing too long. True when something changed.
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -60,7 +60,7 @@
 constexpr std::size_t entries_named = 6;
 
 void
-log_life(const backends::life_change& c)
+log_life(const backends::incarnation_change& c)
 {
   if (c.what != backends::announced::same_life) {
     process::log_line(timeline::event{ "backend_life" }
