--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -284,7 +284,7 @@
   auto odd = engine("x", 5);
   odd.started_ms = 1000;
   announce(r, odd);
-  cr_assert(announce(r, engine("a", 6)) == announced::same_life);
+  cr_assert(announce(r, engine("a", 6)) == announced::same_incarnation);
   replace_all(r, { odd, engine("a", 6), engine("b", 6) }, 10);
   cr_assert_not_null(find(r, "a"));
   cr_assert_not_null(find(r, "b"));
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -101,7 +101,7 @@
 name_of(announced a) noexcept
 {
   switch (a) {
-    case announced::same_life:
+    case announced::same_incarnation:
       return "same_life";
     case announced::new_life:
       return "new_life";
@@ -138,7 +138,7 @@
   }
   b.said = std::move(a);
   b.missing_since_ms = 0;
-  return is_new ? announced::new_life : announced::same_life;
+  return is_new ? announced::new_life : announced::same_incarnation;
 }
 
 void
@@ -177,7 +177,7 @@
   for (auto& a : list) {
     const life of{ a.id, a.started_ms };
     const auto what = announce(r, std::move(a));
-    if (what != announced::same_life) {
+    if (what != announced::same_incarnation) {
       changes.push_back({ of, what });
     }
   }
