--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -236,7 +236,7 @@
   note_failure(*b, 50);
   note_refusal(*b, "m", 50);
   note_pace(*b, 400, 50);
-  cr_assert(announce(r, engine_of_life(2000, 6)) == announced::new_life);
+  cr_assert(announce(r, engine_of_life(2000, 6)) == announced::new_incarnation);
   cr_assert_eq(b->in_flight, 0);
   cr_assert_eq(b->said.versions["m"], 6, "its versions begin anew");
   cr_assert_eq(b->pace_ms, 0);
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -103,7 +103,7 @@
   switch (a) {
     case announced::same_incarnation:
       return "same_life";
-    case announced::new_life:
+    case announced::new_incarnation:
       return "new_life";
     case announced::ended_life:
       return "ended_life";
@@ -138,7 +138,7 @@
   }
   b.said = std::move(a);
   b.missing_since_ms = 0;
-  return is_new ? announced::new_life : announced::same_incarnation;
+  return is_new ? announced::new_incarnation : announced::same_incarnation;
 }
 
 void
