--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -257,12 +257,13 @@
   SECTION("late word of the old life is left out, from a watch or a list")
   {
     const auto known = *b;
-    cr_assert(announce(r, engine_of_life(1000, 9)) == announced::ended_life);
+    cr_assert(announce(r, engine_of_life(1000, 9)) ==
+              announced::past_incarnation);
     cr_assert(*find(r, "a") == known);
     const auto changes = replace_all(r, { engine_of_life(1000, 9) }, 70);
     cr_assert(*find(r, "a") == known);
     cr_assert_eq(changes.size(), 1);
-    cr_assert(changes.front().what == announced::ended_life);
+    cr_assert(changes.front().what == announced::past_incarnation);
   }
 }
 
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -105,7 +105,7 @@
       return "same_life";
     case announced::new_incarnation:
       return "new_life";
-    case announced::ended_life:
+    case announced::past_incarnation:
       return "ended_life";
     case announced::no_life:
       return "no_life";
@@ -125,7 +125,7 @@
   // A late word would bring back load, versions and runs of a process that is
   // gone: items would go to an engine that refuses them, or be believed to run.
   if (a.started_ms < known) {
-    return announced::ended_life;
+    return announced::past_incarnation;
   }
   const bool is_new = known != 0 && a.started_ms > known;
   if (is_new) {
