--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -249,9 +249,9 @@
   SECTION("an entry that tells of no life is another writer's here")
   {
     auto told = r;
-    cr_assert(announce(told, engine("x", 9)) == announced::no_life);
+    cr_assert(announce(told, engine("x", 9)) == announced::no_incarnation);
     cr_assert_null(find(told, "x"));
-    cr_assert(announce(told, engine("a", 9)) == announced::no_life);
+    cr_assert(announce(told, engine("a", 9)) == announced::no_incarnation);
     cr_assert_null(find(told, "a"), "it was written over");
   }
   SECTION("late word of the old life is left out, from a watch or a list")
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -107,7 +107,7 @@
       return "new_life";
     case announced::past_incarnation:
       return "ended_life";
-    case announced::no_life:
+    case announced::no_incarnation:
       return "no_life";
   }
   return "unknown";
@@ -118,7 +118,7 @@
 {
   if (a.started_ms == 0 && lives_are_told(r)) {
     drop(r, a.id);
-    return announced::no_life;
+    return announced::no_incarnation;
   }
   auto& b = r.all[a.id];
   const auto known = b.said.started_ms;
