--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -236,7 +236,8 @@
   note_failure(*b, 50);
   note_refusal(*b, "m", 50);
   note_pace(*b, 400, 50);
-  cr_assert(announce(r, engine_of_life(2000, 6)) == announced::new_incarnation);
+  cr_assert(announce(r, engine_of_life(2000, 6)) ==
+            announce_result::new_incarnation);
   cr_assert_eq(b->in_flight, 0);
   cr_assert_eq(b->said.versions["m"], 6, "its versions begin anew");
   cr_assert_eq(b->pace_ms, 0);
@@ -249,21 +250,23 @@
   SECTION("an entry that tells of no life is another writer's here")
   {
     auto told = r;
-    cr_assert(announce(told, engine("x", 9)) == announced::no_incarnation);
+    cr_assert(announce(told, engine("x", 9)) ==
+              announce_result::no_incarnation);
     cr_assert_null(find(told, "x"));
-    cr_assert(announce(told, engine("a", 9)) == announced::no_incarnation);
+    cr_assert(announce(told, engine("a", 9)) ==
+              announce_result::no_incarnation);
     cr_assert_null(find(told, "a"), "it was written over");
   }
   SECTION("late word of the old life is left out, from a watch or a list")
   {
     const auto known = *b;
     cr_assert(announce(r, engine_of_life(1000, 9)) ==
-              announced::past_incarnation);
+              announce_result::past_incarnation);
     cr_assert(*find(r, "a") == known);
     const auto changes = replace_all(r, { engine_of_life(1000, 9) }, 70);
     cr_assert(*find(r, "a") == known);
     cr_assert_eq(changes.size(), 1);
-    cr_assert(changes.front().what == announced::past_incarnation);
+    cr_assert(changes.front().what == announce_result::past_incarnation);
   }
 }
 
@@ -285,7 +288,7 @@
   auto odd = engine("x", 5);
   odd.started_ms = 1000;
   announce(r, odd);
-  cr_assert(announce(r, engine("a", 6)) == announced::same_incarnation);
+  cr_assert(announce(r, engine("a", 6)) == announce_result::same_incarnation);
   replace_all(r, { odd, engine("a", 6), engine("b", 6) }, 10);
   cr_assert_not_null(find(r, "a"));
   cr_assert_not_null(find(r, "b"));
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -101,13 +101,13 @@
 name_of(announced a) noexcept
 {
   switch (a) {
-    case announced::same_incarnation:
+    case announce_result::same_incarnation:
       return "same_life";
-    case announced::new_incarnation:
+    case announce_result::new_incarnation:
       return "new_life";
-    case announced::past_incarnation:
+    case announce_result::past_incarnation:
       return "ended_life";
-    case announced::no_incarnation:
+    case announce_result::no_incarnation:
       return "no_life";
   }
   return "unknown";
@@ -118,14 +118,14 @@
 {
   if (a.started_ms == 0 && lives_are_told(r)) {
     drop(r, a.id);
-    return announced::no_incarnation;
+    return announce_result::no_incarnation;
   }
   auto& b = r.all[a.id];
   const auto known = b.said.started_ms;
   // A late word would bring back load, versions and runs of a process that is
   // gone: items would go to an engine that refuses them, or be believed to run.
   if (a.started_ms < known) {
-    return announced::past_incarnation;
+    return announce_result::past_incarnation;
   }
   const bool is_new = known != 0 && a.started_ms > known;
   if (is_new) {
@@ -138,7 +138,8 @@
   }
   b.said = std::move(a);
   b.missing_since_ms = 0;
-  return is_new ? announced::new_incarnation : announced::same_incarnation;
+  return is_new ? announce_result::new_incarnation
+                : announce_result::same_incarnation;
 }
 
 void
@@ -177,7 +178,7 @@
   for (auto& a : list) {
     const life of{ a.id, a.started_ms };
     const auto what = announce(r, std::move(a));
-    if (what != announced::same_incarnation) {
+    if (what != announce_result::same_incarnation) {
       changes.push_back({ of, what });
     }
   }
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -107,7 +107,7 @@
 struct incarnation_change
 {
   life of;
-  announced what = announced::same_incarnation;
+  announced what = announce_result::same_incarnation;
 
   friend bool operator==(const incarnation_change&,
                          const incarnation_change&) = default;
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -62,7 +62,7 @@
 void
 log_life(const backends::incarnation_change& c)
 {
-  if (c.what != backends::announced::same_incarnation) {
+  if (c.what != backends::announce_result::same_incarnation) {
     process::log_line(timeline::event{ "backend_life" }
                         .with("backend", c.of.id)
                         .with("started_ms", c.of.started_ms)
