--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -44,13 +44,13 @@
 Test(registry, gives_items_to_engines_whose_weights_are_new_enough)
 {
   auto r = two_engines();
-  cr_assert(choose_for_item(r, needs(6), 0)->said.id == "b");
+  cr_assert(choose_for_item(r, needs(6), 0)->info.id == "b");
   cr_assert_null(choose_for_item(r, needs(7), 0));
   SECTION("a leaving engine gets no new work")
   {
-    find(r, "b")->said.leaving = true;
+    find(r, "b")->info.leaving = true;
     cr_assert_null(choose_for_item(r, needs(6), 0));
-    cr_assert(choose_for_item(r, needs(5), 0)->said.id == "a");
+    cr_assert(choose_for_item(r, needs(5), 0)->info.id == "a");
   }
   SECTION("a full one waits for a free slot")
   {
@@ -62,9 +62,9 @@
 Test(registry, keeps_the_newest_version_it_has_seen)
 {
   auto r = two_engines();
-  find(r, "a")->said.versions["m"] = 9;
+  find(r, "a")->info.versions["m"] = 9;
   announce(r, engine("a", 5));
-  cr_assert_eq(find(r, "a")->said.versions["m"],
+  cr_assert_eq(find(r, "a")->info.versions["m"],
                9,
                "an announcement may be older than an engine's answer");
 }
@@ -120,9 +120,9 @@
   cr_assert(is_slow(*find(r, "b"), usual_pace_ms(r, "drafter", now), now));
   SECTION("it gets work only when the others have no room")
   {
-    cr_assert(choose_for_item(r, needs(5), now)->said.id == "a");
+    cr_assert(choose_for_item(r, needs(5), now)->info.id == "a");
     find(r, "a")->in_flight = 8;
-    cr_assert(choose_for_item(r, needs(5), now)->said.id == "b");
+    cr_assert(choose_for_item(r, needs(5), now)->info.id == "b");
   }
   SECTION("the mark fades, so that a recovered engine is tried again")
   {
@@ -143,20 +143,20 @@
   note_success(*find(r, "x"), 25);
   note_success(*find(r, "y"), 25);
   find(r, "x")->in_flight = 3;
-  cr_assert(choose_for_call(r, { "quotes", "", {} }, 0, 0.5)->said.id == "y");
+  cr_assert(choose_for_call(r, { "quotes", "", {} }, 0, 0.5)->info.id == "y");
   SECTION("one that failed is avoided for a while")
   {
     note_failure(*find(r, "y"), 1000);
-    cr_assert(choose_for_call(r, { "quotes", "", {} }, 1001, 0.5)->said.id ==
+    cr_assert(choose_for_call(r, { "quotes", "", {} }, 1001, 0.5)->info.id ==
               "x");
-    cr_assert(choose_for_call(r, { "quotes", "", {} }, 1300, 0.5)->said.id ==
+    cr_assert(choose_for_call(r, { "quotes", "", {} }, 1300, 0.5)->info.id ==
               "y");
   }
   SECTION("and used all the same when there is no other")
   {
     note_failure(*find(r, "y"), 1000);
     cr_assert(
-      choose_for_call(r, { "quotes", "", { "x" } }, 1001, 0.5)->said.id == "y");
+      choose_for_call(r, { "quotes", "", { "x" } }, 1001, 0.5)->info.id == "y");
   }
 }
 
@@ -178,17 +178,17 @@
                            return address == "y:1";
                          } };
   for (const double random : { 0.0, 0.4, 0.9 }) {
-    cr_assert(choose_for_call(r, needs, 0, random)->said.id == "y");
+    cr_assert(choose_for_call(r, needs, 0, random)->info.id == "y");
   }
   SECTION("unless it has more to do than the others")
   {
     find(r, "y")->in_flight = 2;
-    cr_assert(choose_for_call(r, needs, 0, 0)->said.id != "y");
+    cr_assert(choose_for_call(r, needs, 0, 0)->info.id != "y");
   }
   SECTION("or has failed")
   {
     note_failure(*find(r, "y"), 1000);
-    cr_assert(choose_for_call(r, needs, 1001, 0)->said.id != "y");
+    cr_assert(choose_for_call(r, needs, 1001, 0)->info.id != "y");
   }
 }
 
@@ -239,7 +239,7 @@
   cr_assert(announce(r, engine_of_life(2000, 6)) ==
             announce_result::new_incarnation);
   cr_assert_eq(b->in_flight, 0);
-  cr_assert_eq(b->said.versions["m"], 6, "its versions begin anew");
+  cr_assert_eq(b->info.versions["m"], 6, "its versions begin anew");
   cr_assert_eq(b->pace_ms, 0);
   cr_assert_not_null(choose_for_item(r, needs(6), 60));
   SECTION("ends of the old runs are not counted into the new life")
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -55,23 +55,23 @@
 {
   const bool fresh = now_ms - b.others_at_ms < load_age_limit_ms;
   const double all = b.in_flight + told_of(b, now_ms) + (fresh ? b.others : 0);
-  return all / std::max<std::uint32_t>(b.said.slots, 1);
+  return all / std::max<std::uint32_t>(b.info.slots, 1);
 }
 
 bool
 is_open(const backend& b, std::uint64_t now_ms)
 {
-  return !b.said.leaving && b.avoided_until_ms <= now_ms;
+  return !b.info.leaving && b.avoided_until_ms <= now_ms;
 }
 
 bool
 accepts(const backend& b, const item_needs& needs, std::uint64_t now_ms)
 {
-  if (b.said.leaving || b.said.service != needs.service) {
+  if (b.info.leaving || b.info.service != needs.service) {
     return false;
   }
-  const auto found = b.said.versions.find(std::string{ needs.model });
-  if (found == b.said.versions.end()) {
+  const auto found = b.info.versions.find(std::string{ needs.model });
+  if (found == b.info.versions.end()) {
     return false;
   }
   const auto refused = b.refused_until_ms.find(found->first);
@@ -90,7 +90,7 @@
 {
   const auto told =
     std::count_if(r.all.begin(), r.all.end(), [](const auto& e) {
-      return e.second.said.started_ms != 0;
+      return e.second.info.started_ms != 0;
     });
   return 2 * static_cast<std::size_t>(told) > r.all.size();
 }
@@ -121,7 +121,7 @@
     return announce_result::no_incarnation;
   }
   auto& b = r.all[a.id];
-  const auto known = b.said.started_ms;
+  const auto known = b.info.started_ms;
   // A late word would bring back load, versions and runs of a process that is
   // gone: items would go to an engine that refuses them, or be believed to run.
   if (a.started_ms < known) {
@@ -132,11 +132,11 @@
     b = {};
   }
   // Versions only grow while it lives; its word may be older than ours.
-  for (const auto& [model, version] : b.said.versions) {
+  for (const auto& [model, version] : b.info.versions) {
     auto& said = a.versions[model];
     said = std::max(said, version);
   }
-  b.said = std::move(a);
+  b.info = std::move(a);
   b.missing_since_ms = 0;
   return is_new ? announce_result::new_incarnation
                 : announce_result::same_incarnation;
@@ -207,14 +207,14 @@
 life
 incarnation_of(const backend& b)
 {
-  return { b.said.id, b.said.started_ms };
+  return { b.info.id, b.info.started_ms };
 }
 
 backend*
 find(registry& r, const life& l)
 {
   auto* b = find(r, l.id);
-  return b != nullptr && b->said.started_ms == l.started_ms ? b : nullptr;
+  return b != nullptr && b->info.started_ms == l.started_ms ? b : nullptr;
 }
 
 void
@@ -286,7 +286,7 @@
   std::vector<double> known;
   for (const auto& [id, b] : r.all) {
     const bool fresh = now - b.pace_at_ms <= pace_age_limit_ms;
-    if (b.said.service == service && b.pace_ms > 0 && fresh) {
+    if (b.info.service == service && b.pace_ms > 0 && fresh) {
       known.push_back(b.pace_ms);
     }
   }
@@ -320,14 +320,14 @@
       const bool was_tried =
         std::find(needs.tried.begin(), needs.tried.end(), id) !=
         needs.tried.end();
-      const bool open = careful ? is_open(b, now_ms) : !b.said.leaving;
-      if (b.said.service != needs.service || was_tried || !open) {
+      const bool open = careful ? is_open(b, now_ms) : !b.info.leaving;
+      if (b.info.service != needs.service || was_tried || !open) {
         continue;
       }
       const double cost =
         (1 + load_of(b, now_ms)) * std::max(b.call_ms, 1.0) +
-        (needs.is_connected(b.said.address) ? 0 : connect_cost_ms) +
-        (b.said.data_centre == needs.data_centre ? 0 : far_penalty);
+        (needs.is_connected(b.info.address) ? 0 : connect_cost_ms) +
+        (b.info.data_centre == needs.data_centre ? 0 : far_penalty);
       constexpr double same = 1e-9;
       equal = cost < best_cost - same ? 1 : equal + 1;
       if (cost < best_cost - same ||
@@ -356,7 +356,7 @@
     }
     const double cost =
       load_of(b, now_ms) + (is_slow(b, usual, now_ms) ? slow_penalty : 0) +
-      (b.said.data_centre == needs.data_centre ? 0 : far_penalty);
+      (b.info.data_centre == needs.data_centre ? 0 : far_penalty);
     if (cost < best_cost) {
       best = &b;
       best_cost = cost;
--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -91,9 +91,9 @@
   for (const auto& [id, b] : p.registry.all) {
     const bool is_of_it = std::any_of(
       r.services.begin(), r.services.end(), [&b = b](const auto& s) {
-        return s.service == b.said.service;
+        return s.service == b.info.service;
       });
-    places += is_of_it && !b.said.leaving ? b.said.slots : 0;
+    places += is_of_it && !b.info.leaving ? b.info.slots : 0;
   }
   return places;
 }
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -168,7 +168,7 @@
     r.fields, has_workspaces(), names.workspace, b.stored.workspace);
   http::set(r.fields, names.request_id, item.id);
   http::set(r.fields, names.deadline_ms, std::to_string(run_limit_ms));
-  http::set(r.fields, names.expected_backend, backend->said.id);
+  http::set(r.fields, names.expected_backend, backend->info.id);
   const auto rank =
     std::min(urgency + urgency_of_rank(route->priority), least_urgent_run);
   http::set(r.fields, names.urgency, std::to_string(rank));
@@ -182,7 +182,7 @@
   i.stage = item_stage::running;
   i.run = next_run++;
   i.backend = backends::incarnation_of(*backend);
-  i.address = backend->said.address;
+  i.address = backend->info.address;
   i.started_ms = now;
   i.last_event_ms = now;
   i.status = 0;
@@ -195,9 +195,9 @@
       .with("request", item.id)
       .with("work", i.work)
       .with("batch", b.stored.id)
-      .with("backend", backend->said.id)
+      .with("backend", backend->info.id)
       .with("in_flight", backend->in_flight)
-      .with("version", backend->said.versions[b.submission.model])
+      .with("version", backend->info.versions[b.submission.model])
       .with("resumed_at", i.text.last_event)
       .with("try", i.tries));
   ++backend->in_flight;
@@ -215,7 +215,7 @@
                      std::string_view d) { self->on_body(id, at, run, d); };
   events.on_end = [self, id = b.stored.id, at = i.index, run = i.run](
                     http::end_state e) { self->on_run_end(id, at, run, e); };
-  i.sent = p.http.send(backend->said.address, r, o, std::move(events));
+  i.sent = p.http.send(backend->info.address, r, o, std::move(events));
   return true;
 }
 
@@ -292,7 +292,7 @@
   auto* backend = backends::find(p.registry, i->backend);
   const auto version = http::number(h.fields, names.weight_version);
   if (backend != nullptr && version) {
-    backend->said.versions[b.submission.model] = *version;
+    backend->info.versions[b.submission.model] = *version;
   }
   if (backend != nullptr) {
     if (const auto text = http::find(h.fields, names.load)) {
@@ -364,7 +364,7 @@
                        static_cast<double>(events.size());
       backends::note_pace(*backend, gap, now);
     }
-    auto& said = backend->said.versions[b.submission.model];
+    auto& said = backend->info.versions[b.submission.model];
     said = std::max(said, i->text.version);
   }
   if (i->events_in_run == 0) {
@@ -508,11 +508,11 @@
       retry_item(b, i, 0, "silent");
       continue;
     }
-    const auto& service = backend->said.service;
+    const auto& service = backend->info.service;
     const auto usual = backends::usual_pace_ms(p.registry, service, now);
     const bool slow = backends::is_slow(*backend, usual, now) &&
                       now - i.started_ms > move_pause_ms;
-    if (!backend->said.leaving && !slow) {
+    if (!backend->info.leaving && !slow) {
       continue;
     }
     backends::item_needs needs;
@@ -525,7 +525,7 @@
     if (other != nullptr && !backends::is_slow(*other, usual, now)) {
       stop_run(i);
       i.not_on = i.backend.id;
-      retry_item(b, i, 0, backend->said.leaving ? "leaving" : "slow");
+      retry_item(b, i, 0, backend->info.leaving ? "leaving" : "slow");
       plan();
     }
   }
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -394,7 +394,7 @@
   const auto now = http::now_ms();
   const auto left = f.ask.give_up_ms > now ? f.ask.give_up_ms - now : 1;
   http::set(r.fields, names.deadline_ms, std::to_string(left));
-  http::set(r.fields, names.expected_backend, b.said.id);
+  http::set(r.fields, names.expected_backend, b.info.id);
   return r;
 }
 
@@ -403,16 +403,16 @@
 {
   const auto index = f->attempts.size();
   const auto now = http::now_ms();
-  f->tried.push_back(b.said.id);
+  f->tried.push_back(b.info.id);
   f->attempts.push_back(
-    { {}, backends::incarnation_of(b), b.said.address, now, false });
+    { {}, backends::incarnation_of(b), b.info.address, now, false });
   process::log_line(
     timeline::event{ "call_sent" }
       .with("request", f->ask.id)
       .with("work", f->work)
       .with("route", f->ask.route.name)
-      .with("backend", b.said.id)
-      .with("address", b.said.address)
+      .with("backend", b.info.id)
+      .with("address", b.info.address)
       .with("attempt", f->attempts.size())
       .with("in_flight", b.in_flight)
       .with("others", b.others)
@@ -429,7 +429,7 @@
   o.echo = { dialect_.headers.request_id, f->ask.id };
   o.reset_when_given_up = true;
   f->attempts[index].sent = http_.fetch(
-    b.said.address,
+    b.info.address,
     prepare(*f, b),
     o,
     [this, f, index](http::end_state end, http::response&& r) {
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -251,8 +251,8 @@
   }
   std::vector<const backends::backend*> peers;
   for (const auto& [id, b] : registry_.all) {
-    if (b.said.service == known->second.said.service && id != ended.id &&
-        !b.said.leaving) {
+    if (b.info.service == known->second.info.service && id != ended.id &&
+        !b.info.leaving) {
       peers.push_back(&b);
     }
   }
@@ -263,7 +263,7 @@
     if (unconfirmed_.contains(key_of(of)) || is_known_to_have_ended(of)) {
       continue;
     }
-    look_at(of, b->said.address);
+    look_at(of, b->info.address);
     if (++looked_at == looked_at_beside) {
       return;
     }
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -103,7 +103,7 @@
   w.engine.events = 3;
   w.engine.gap_ms = 20;
   // One group after the other.
-  backends::find(w.entries[0]->registry, "e1")->said.slots = 2;
+  backends::find(w.entries[0]->registry, "e1")->info.slots = 2;
   w.call(*w.entries[0], "POST", step.dump());
   const auto all = w.read_whole(*w.entries[0], items);
   check_whole(all, w.engine);
