--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -98,7 +98,7 @@
   auto r = fourteen_engines();
   backends::note_told(r, { { "e0", 2 } }, now);
   backends::note_load(*backends::find(r, "e0"), { 3, 0, slots }, now);
-  cr_assert_eq(backends::find(r, "e0")->told, 2);
+  cr_assert_eq(backends::find(r, "e0")->peer_runs, 2);
   cr_assert_eq(backends::find(r, "e0")->others, 1);
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
