--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -259,9 +259,9 @@
 }
 
 void
-note_told(registry& r,
-          const std::map<std::string, std::uint32_t>& runs,
-          std::uint64_t now_ms)
+set_peer_runs(registry& r,
+              const std::map<std::string, std::uint32_t>& runs,
+              std::uint64_t now_ms)
 {
   for (auto& [id, b] : r.all) {
     const auto found = runs.find(id);
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -159,9 +159,9 @@
 
 // Other instances have told what they have running, by backend server.
 void
-note_told(registry& r,
-          const std::map<std::string, std::uint32_t>& runs,
-          std::uint64_t now_ms);
+set_peer_runs(registry& r,
+              const std::map<std::string, std::uint32_t>& runs,
+              std::uint64_t now_ms);
 
 // The pause before one event of a stream.
 void
--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -72,7 +72,7 @@
   auto second = fourteen_engines();
   use_of_others told;
   note(told, { "first", runs_of(first) }, now);
-  backends::note_told(second, sum(told, now), now);
+  backends::set_peer_runs(second, sum(told, now), now);
   cr_assert_eq(place_items(second, 80, now), engines * slots - 60);
   SECTION("no engine has more than it can run")
   {
@@ -85,7 +85,7 @@
     constexpr std::uint64_t later = now + 2000;
     auto third = fourteen_engines();
     cr_assert(sum(told, later).empty());
-    backends::note_told(third, sum(told, later), later);
+    backends::set_peer_runs(third, sum(told, later), later);
     cr_assert_eq(place_items(third, 100, later), engines * slots);
   }
 }
@@ -96,7 +96,7 @@
 {
   constexpr std::uint64_t now = 10'000;
   auto r = fourteen_engines();
-  backends::note_told(r, { { "e0", 2 } }, now);
+  backends::set_peer_runs(r, { { "e0", 2 } }, now);
   backends::note_load(*backends::find(r, "e0"), { 3, 0, slots }, now);
   cr_assert_eq(backends::find(r, "e0")->peer_runs, 2);
   cr_assert_eq(backends::find(r, "e0")->others, 1);
--- a/cactusford/batches/use.cc
+++ b/cactusford/batches/use.cc
@@ -89,7 +89,7 @@
   }
   const auto now = http::now_ms();
   note(impl_->others, std::move(*t), now);
-  backends::note_told(impl_->p.registry, sum(impl_->others, now), now);
+  backends::set_peer_runs(impl_->p.registry, sum(impl_->others, now), now);
   peer.respond(answer(200));
 }
 
