--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -110,14 +110,14 @@
     note_pace(*find(r, "a"), 40, now);
     note_pace(*find(r, "b"), 40, now);
   }
-  const auto usual = usual_pace_ms(r, "drafter", now);
+  const auto usual = typical_pace_ms(r, "drafter", now);
   cr_assert_not(is_slow(*find(r, "b"), usual, now));
   for (int i = 0; i < 4; ++i) {
     now += 140;
     note_pace(*find(r, "b"), 140, now);
     note_pace(*find(r, "a"), 40, now);
   }
-  cr_assert(is_slow(*find(r, "b"), usual_pace_ms(r, "drafter", now), now));
+  cr_assert(is_slow(*find(r, "b"), typical_pace_ms(r, "drafter", now), now));
   SECTION("it gets work only when the others have no room")
   {
     cr_assert(choose_for_item(r, needs(5), now)->info.id == "a");
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -281,7 +281,7 @@
 }
 
 double
-usual_pace_ms(const registry& r, std::string_view service, std::uint64_t now)
+typical_pace_ms(const registry& r, std::string_view service, std::uint64_t now)
 {
   std::vector<double> known;
   for (const auto& [id, b] : r.all) {
@@ -346,7 +346,7 @@
 backend*
 choose_for_item(registry& r, const item_needs& needs, std::uint64_t now_ms)
 {
-  const auto usual = usual_pace_ms(r, needs.service, now_ms);
+  const auto usual = typical_pace_ms(r, needs.service, now_ms);
   backend* best = nullptr;
   double best_cost = std::numeric_limits<double>::max();
   for (auto& [id, b] : r.all) {
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -170,11 +170,11 @@
 // The pace that a healthy engine of the service shows: the lower quartile of
 // the known ones. 0: not known.
 double
-usual_pace_ms(const registry& r, std::string_view service, std::uint64_t now);
+typical_pace_ms(const registry& r, std::string_view service, std::uint64_t now);
 
 // True when its streams run far slower than those of its peers.
 bool
-is_slow(const backend& b, double usual_pace_ms, std::uint64_t now_ms);
+is_slow(const backend& b, double typical_pace_ms, std::uint64_t now_ms);
 
 struct call_needs
 {
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -63,7 +63,7 @@
   if (route == nullptr || route->services.empty()) {
     return before_any_ms;
   }
-  const auto seen = backends::usual_pace_ms(
+  const auto seen = backends::typical_pace_ms(
     p.registry, route->services.front().service, http::now_ms());
   return seen > 0 ? seen : before_any_ms;
 }
@@ -509,7 +509,7 @@
       continue;
     }
     const auto& service = backend->info.service;
-    const auto usual = backends::usual_pace_ms(p.registry, service, now);
+    const auto usual = backends::typical_pace_ms(p.registry, service, now);
     const bool slow = backends::is_slow(*backend, usual, now) &&
                       now - i.started_ms > move_pause_ms;
     if (!backend->info.leaving && !slow) {
