--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -351,7 +351,7 @@
   double best_cost = std::numeric_limits<double>::max();
   for (auto& [id, b] : r.all) {
     if (!accepts(b, needs, now_ms) || !is_open(b, now_ms) ||
-        id == needs.not_on || load_of(b, now_ms) >= 1) {
+        id == needs.excluded_id || load_of(b, now_ms) >= 1) {
       continue;
     }
     const double cost =
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -133,7 +133,7 @@
   needs.min_version = b.submission.min_version;
   needs.only_version =
     route->single_version && i.text.events > 0 ? i.text.version : 0;
-  needs.not_on = i.not_on;
+  needs.excluded_id = i.not_on;
   needs.data_centre = p.data_centre;
   if (needs.only_version != 0 && !backends::can_serve(p.registry, needs)) {
     i.text = {};
@@ -519,7 +519,7 @@
     needs.service = service;
     needs.model = b.submission.model;
     needs.min_version = b.submission.min_version;
-    needs.not_on = i.backend.id;
+    needs.excluded_id = i.backend.id;
     needs.data_centre = p.data_centre;
     auto* other = backends::choose_for_item(p.registry, needs, now);
     if (other != nullptr && !backends::is_slow(*other, usual, now)) {
