--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -42,7 +42,7 @@
   while (state.KeepRunning()) {
     key = key * 6364136223846793005ULL + 1;
     const auto chosen = routing::choose(pool, key, {}, {}, ++now);
-    routing::sent(pool, *chosen);
+    routing::note_sent(pool, *chosen);
     routing::returned(pool, *chosen);
     benchmark::DoNotOptimize(chosen);
   }
--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -191,7 +191,7 @@
           false);
     return;
   }
-  routing::sent(pool->second, *index);
+  routing::note_sent(pool->second, *index);
   const auto& t = pool->second.targets[*index];
   c->instance = t.instance;
   ++c->attempts;
