--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -43,7 +43,7 @@
     key = key * 6364136223846793005ULL + 1;
     const auto chosen = routing::choose(pool, key, {}, {}, ++now);
     routing::note_sent(pool, *chosen);
-    routing::returned(pool, *chosen);
+    routing::note_returned(pool, *chosen);
     benchmark::DoNotOptimize(chosen);
   }
   state.counters["bytes"] = static_cast<double>(
--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -375,7 +375,7 @@
     return;
   }
   if (const auto index = routing::find(pool->second, c.instance)) {
-    routing::returned(pool->second, *index);
+    routing::note_returned(pool->second, *index);
   }
 }
 
