--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -235,7 +235,7 @@
 caller::note_load(call& c, const calls::load_report& load)
 {
   if (auto* t = target_of(c)) {
-    routing::reported(
+    routing::note_load_report(
       *t, load.running() + load.queued(), load.slots(), process::steady_ms());
     t->incarnation = load.incarnation();
   }
