--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -322,7 +322,7 @@
       return;
     case error_kind::no_backend:
       if (t != nullptr) {
-        routing::failed(*t, process::steady_ms());
+        routing::note_failure(*t, process::steady_ms());
       }
       retry(c, why, true);
       return;
@@ -351,7 +351,7 @@
   auto* t = target_of(*c);
   leave_target(*c);
   if (t != nullptr) {
-    routing::failed(*t, process::steady_ms());
+    routing::note_failure(*t, process::steady_ms());
   }
   if (!never_left) {
     c->may_have_run = true;
