--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -138,7 +138,7 @@
       q, { id, admission::call_class::rollout, flow(), 0.1, id % 700 });
     const auto c = admission::pop_rollout(q);
     admission::charge(q, c->flow, 200);
-    admission::finished(q, c->flow);
+    admission::note_finished(q, c->flow);
   }
 }
 BENCHMARK(queue_and_pop)->Arg(1)->Arg(7);
--- a/cactusford/sidecar/gate.cc
+++ b/cactusford/sidecar/gate.cc
@@ -470,7 +470,7 @@
   if (c.running) {
     --running_;
     if (c.request.call_class() == calls::rollout) {
-      admission::finished(queue_, c.request.trainer());
+      admission::note_finished(queue_, c.request.trainer());
     } else {
       --running_callers_;
     }
