--- a/cactusford/admission/budget.cc
+++ b/cactusford/admission/budget.cc
@@ -12,7 +12,7 @@
 } // namespace
 
 void
-first_try(retry_budget& b)
+credit_first_attempt(retry_budget& b)
 {
   b.tokens = std::min(b.limit, b.tokens + b.ratio);
 }
--- a/cactusford/admission/budget.h
+++ b/cactusford/admission/budget.h
@@ -17,7 +17,7 @@
 };
 
 void
-first_try(retry_budget& b);
+credit_first_attempt(retry_budget& b);
 
 // False when the budget is spent.
 bool
--- a/cactusford/admission/queue-test.cc
+++ b/cactusford/admission/queue-test.cc
@@ -126,7 +126,7 @@
   b.ratio = 0.2;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    first_try(b);
+    credit_first_attempt(b);
     retries += take_retry(b) ? 1 : 0;
   }
   cr_assert_leq(retries, 211);
--- a/cactusford/edge/second_attempt.cc
+++ b/cactusford/edge/second_attempt.cc
@@ -26,7 +26,7 @@
 void
 note_first_attempt(second_attempts& s)
 {
-  admission::first_try(s.budget);
+  admission::credit_first_attempt(s.budget);
 }
 
 void
--- a/cactusford/entry/caller.cc
+++ b/cactusford/entry/caller.cc
@@ -103,7 +103,7 @@
   c->pool = spec.request.pool();
   c->spec = std::move(spec);
   calls_[c->handle] = c;
-  admission::first_try(budget_);
+  admission::credit_first_attempt(budget_);
   daemon_.after(c->spec.deadline_ms + deadline_grace_ms,
                 [this, weak = std::weak_ptr{ c }] {
                   if (const auto live = weak.lock(); live && !live->done) {
