--- a/cactusford/admission/budget.cc
+++ b/cactusford/admission/budget.cc
@@ -31,9 +31,9 @@
 backoff_ms(std::uint32_t attempt, double random)
 {
   const auto exponent = std::min<std::uint32_t>(attempt, 10);
-  const auto most = std::min(
+  const auto max_delay = std::min(
     first_backoff_ms * static_cast<double>(1U << exponent), max_backoff_ms);
-  return static_cast<std::uint64_t>(1 + random * most);
+  return static_cast<std::uint64_t>(1 + random * max_delay);
 }
 
 } // namespace cactusford::admission
--- a/cactusford/admission/queue-test.cc
+++ b/cactusford/admission/queue-test.cc
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// Two trainers with shares of 3 and 1 keep their queues full. Over any while
-// their tokens stand 3 to 1, whatever lengths their samples have.
+// Two trainers with shares of 3 to 1 keep their queues full. Over any longer
+// period their tokens are in that ratio, whatever the lengths of their samples.
 Test(queue, shares_hold_in_tokens)
 {
   queue q;
@@ -37,16 +37,16 @@
     const auto tokens = c->flow == "a" ? 50 + (i * 37) % 300 : 200;
     charge(q, c->flow, static_cast<std::uint64_t>(tokens));
     used[c->flow == "a" ? 0 : 1] += tokens;
-    finished(q, c->flow);
+    note_finished(q, c->flow);
     push(q, rollout(++id, c->flow.c_str(), c->flow == "a" ? 0.75 : 0.25));
   }
   const auto share = used[0] / (used[0] + used[1]);
   cr_assert_lt(std::abs(share - 0.75), 0.02, "share of a is %f", share);
 }
 
-// Trainer b was idle and a used the whole engine. When b comes back it gets
-// its share from now on, and not everything until it has caught up.
-Test(queue, idle_share_is_lent_and_not_owed)
+// Trainer b was idle and a used the whole engine. When b has work again, it
+// gets its share from then on, not the whole engine until it has caught up.
+Test(queue, an_idle_share_is_not_credited)
 {
   queue q;
   std::uint64_t id = 0;
@@ -57,17 +57,17 @@
     const auto c = pop_rollout(q);
     charge(q, c->flow, 1000);
   }
-  int first[2] = { 0, 0 };
+  int served[2] = { 0, 0 };
   for (int i = 0; i < 10; ++i) {
     push(q, rollout(++id, "b", 0.5));
   }
   for (int i = 0; i < 10; ++i) {
     const auto c = pop_rollout(q);
-    ++first[c->flow == "a" ? 0 : 1];
+    ++served[c->flow == "a" ? 0 : 1];
     charge(q, c->flow, 1000);
   }
-  cr_assert_eq(first[0], 5);
-  cr_assert_eq(first[1], 5);
+  cr_assert_eq(served[0], 5);
+  cr_assert_eq(served[1], 5);
 }
 
 Test(queue, is_bounded_and_serves_callers_first)
@@ -76,7 +76,8 @@
   q.limit = 2;
   push(q, rollout(1, "a", 1));
   cr_assert(push(q, { 2, call_class::live, "", 1, 1 }));
-  cr_assert(!push(q, { 3, call_class::live, "", 1, 1 }), "it must be full");
+  cr_assert(!push(q, { 3, call_class::live, "", 1, 1 }),
+            "the queue must be full");
   cr_assert_eq(pop_caller(q)->id, 2);
   cr_assert(!pop_caller(q).has_value());
   cr_assert(remove(q, 1));
@@ -86,21 +87,21 @@
 
 Test(queue, property_nothing_is_lost_or_doubled)
 {
-  const bool ok = rc::check("calls come out once", [] {
+  const bool ok = rc::check("each call leaves the queue once", [] {
     queue q;
     std::map<std::uint64_t, int> out;
     std::uint64_t id = 0;
     std::size_t in = 0;
-    for (const auto what :
+    for (const auto action :
          *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5))) {
-      if (what <= 1) {
-        const auto cls = what == 0 ? call_class::live : call_class::rollout;
+      if (action <= 1) {
+        const auto cls = action == 0 ? call_class::live : call_class::rollout;
         in += push(q, { ++id, cls, id % 2 == 0 ? "a" : "b", 0.5, id }) ? 1 : 0;
-      } else if (what == 2) {
+      } else if (action == 2) {
         if (const auto c = pop_caller(q)) {
           ++out[c->id];
         }
-      } else if (what == 3) {
+      } else if (action == 3) {
         if (const auto c = pop_rollout(q)) {
           ++out[c->id];
         }
@@ -116,9 +117,10 @@
   cr_assert(ok);
 }
 
-// Half of the backend servers die and every call fails once. Retries are held
-// to a fraction of the first tries, so the other half is not drowned by them.
-Test(budget, retries_are_a_fraction_of_first_tries)
+// Half of the backend servers crash and every call fails once. Retries are
+// limited to a fraction of the first attempts, so that they do not overload the
+// other half.
+Test(budget, retries_are_a_fraction_of_first_attempts)
 {
   retry_budget b;
   b.limit = 10;
--- a/cactusford/admission/queue.cc
+++ b/cactusford/admission/queue.cc
@@ -14,10 +14,11 @@
   return f.waiting > 0 || f.running > 0;
 }
 
-// A flow that was idle starts level with the least served one. Starting from
-// its old time would let it claim, all at once, the share that it had lent.
+// Raises the virtual time of an idle flow to the lowest one of the active
+// flows. With its old virtual time it would be served alone until it had caught
+// up on the share that others used while it was idle.
 void
-level(queue& q, flow_state& f)
+raise_virtual_time(queue& q, flow_state& f)
 {
   if (is_active(f)) {
     return;
@@ -56,7 +57,7 @@
     q.callers.emplace(std::pair{ tier_of(c.cls), c.id }, c);
   } else {
     auto& f = q.flows[c.flow];
-    level(q, f);
+    raise_virtual_time(q, f);
     f.share = std::max(c.share, min_share);
     ++f.waiting;
     q.rollouts[c.flow].emplace(rollout_key(q, c), c);
@@ -127,7 +128,7 @@
 }
 
 void
-finished(queue& q, const std::string& flow)
+note_finished(queue& q, const std::string& flow)
 {
   auto& f = q.flows[flow];
   f.running -= std::min<std::size_t>(f.running, 1);
--- a/cactusford/admission/queue.h
+++ b/cactusford/admission/queue.h
@@ -1,5 +1,6 @@
-// The queue of a sidecar: callers' requests first, then rollouts by the share
-// of their trainer, counted in tokens. Pure.
+// The request queue of a sidecar. Callers' requests run first; rollouts share
+// the remaining capacity by weighted fair queueing, with a share for each
+// trainer that is measured in tokens. Free of side effects beyond `queue`.
 #pragma once
 
 #include <compare>
@@ -18,7 +19,7 @@
   rollout,
 };
 
-// Smaller runs first.
+// Priority of a class of calls; smaller values run first.
 int
 tier_of(call_class c) noexcept;
 
@@ -26,7 +27,7 @@
 {
   std::uint64_t id = 0;
   call_class cls = call_class::live;
-  // The trainer whose share it counts against.
+  // The trainer whose share this call is charged to.
   std::string flow;
   double share = 1;
   std::uint64_t expected_tokens = 1;
@@ -37,7 +38,8 @@
 struct flow_state
 {
   double share = 1;
-  // Tokens used divided by share; the least goes first.
+  // Tokens used, divided by the share. The flow with the lowest value is served
+  // next.
   double virtual_time = 0;
   std::size_t waiting = 0;
   std::size_t running = 0;
@@ -47,7 +49,8 @@
 {
   std::size_t limit = 256;
   bool longest_first = true;
-  // Order within a tier: callers by arrival, rollouts per flow.
+  // Callers' requests by tier and arrival; rollouts by flow, by length or
+  // arrival.
   std::map<std::pair<int, std::uint64_t>, waiting_call> callers;
   std::map<std::string,
            std::map<std::pair<std::int64_t, std::uint64_t>, waiting_call>>
@@ -56,29 +59,30 @@
   std::map<std::uint64_t, waiting_call> by_id;
 };
 
-// False when the queue is full; nothing is kept then.
+// Returns false, without adding the call, if the queue is full.
 bool
 push(queue& q, const waiting_call& c);
 
-// The next caller's request.
+// Removes and returns the next request of a caller.
 std::optional<waiting_call>
 pop_caller(queue& q);
 
-// The next rollout: of the trainer that used least for its share.
+// Removes and returns the next rollout, of the trainer with the lowest virtual
+// time.
 std::optional<waiting_call>
 pop_rollout(queue& q);
 
-// False when it is not waiting, for example because it runs.
+// Returns false if the call is not queued, for example because it is running.
 bool
 remove(queue& q, std::uint64_t id);
 
-// Counts tokens that a running rollout has produced.
+// Charges the tokens that a running rollout has produced to its flow.
 void
 charge(queue& q, const std::string& flow, std::uint64_t tokens);
 
-// A rollout that `pop_rollout` gave out has ended.
+// Records that a rollout returned by `pop_rollout` has ended.
 void
-finished(queue& q, const std::string& flow);
+note_finished(queue& q, const std::string& flow);
 
 std::size_t
 size(const queue& q);
--- a/cactusford/backends/registry-test.cc
+++ b/cactusford/backends/registry-test.cc
@@ -52,7 +52,7 @@
     cr_assert_null(choose_for_item(r, needs(6), 0));
     cr_assert(choose_for_item(r, needs(5), 0)->info.id == "a");
   }
-  SECTION("a full one waits for a free slot")
+  SECTION("a full engine gets no new work")
   {
     find(r, "a")->in_flight = 8;
     cr_assert_null(choose_for_item(r, needs(5), 0));
@@ -69,38 +69,39 @@
                "an announcement may be older than an engine's answer");
 }
 
-// The store is down for some seconds and entries lapse meanwhile. When it is
-// back, its list lacks engines that are alive: dropping them would leave the
-// callers with "no backend server". They announce themselves within two
-// seconds; what is missing after that is gone.
+// Entries expire during a store outage of a few seconds, so the first list
+// afterwards lacks engines that are alive. Dropping them at once would make
+// calls fail with "no backend server". Live engines announce themselves again
+// within two seconds; the ones still missing after that are removed.
 Test(registry, keeps_lapsed_entries_for_a_moment_after_an_outage)
 {
   auto r = two_engines();
   r.keep_missing_until_ms = 12000;
   replace_all(r, { engine("b", 6) }, 10000);
   cr_assert_not_null(find(r, "a"));
-  SECTION("it comes back")
+  SECTION("an engine that announces itself again is kept")
   {
-    auto back = r;
-    announce(back, engine("a", 5));
-    expire(back, 12001);
-    cr_assert_not_null(find(back, "a"));
+    auto announced_again = r;
+    announce(announced_again, engine("a", 5));
+    expire(announced_again, 12001);
+    cr_assert_not_null(find(announced_again, "a"));
   }
-  SECTION("it does not")
+  SECTION("an engine that does not is removed")
   {
     cr_assert(expire(r, 12001));
     cr_assert_null(find(r, "a"));
   }
-  SECTION("without an outage it is gone at once")
+  SECTION("without an outage a withdrawn engine is removed at once")
   {
-    auto calm = two_engines();
-    withdraw(calm, "a", 100);
-    cr_assert_null(find(calm, "a"));
+    auto no_outage = two_engines();
+    withdraw(no_outage, "a", 100);
+    cr_assert_null(find(no_outage, "a"));
   }
 }
 
-// Heaviest days: a fifth of the engines turn three to four times slower for
-// eight seconds. The pace of their streams shows it within a few events.
+// At peak load a fifth of the engines become three to four times slower for
+// eight seconds. The time between their stream events shows it within a few
+// events.
 Test(registry, sees_a_slow_engine_from_the_pace_of_its_streams)
 {
   auto r = two_engines();
@@ -110,23 +111,23 @@
     note_pace(*find(r, "a"), 40, now);
     note_pace(*find(r, "b"), 40, now);
   }
-  const auto usual = typical_pace_ms(r, "drafter", now);
-  cr_assert_not(is_slow(*find(r, "b"), usual, now));
+  const auto typical_ms = typical_pace_ms(r, "drafter", now);
+  cr_assert_not(is_slow(*find(r, "b"), typical_ms, now));
   for (int i = 0; i < 4; ++i) {
     now += 140;
     note_pace(*find(r, "b"), 140, now);
     note_pace(*find(r, "a"), 40, now);
   }
   cr_assert(is_slow(*find(r, "b"), typical_pace_ms(r, "drafter", now), now));
-  SECTION("it gets work only when the others have no room")
+  SECTION("a slow engine gets work only when the others are full")
   {
     cr_assert(choose_for_item(r, needs(5), now)->info.id == "a");
     find(r, "a")->in_flight = 8;
     cr_assert(choose_for_item(r, needs(5), now)->info.id == "b");
   }
-  SECTION("the mark fades, so that a recovered engine is tried again")
+  SECTION("the measurement expires, so that a recovered engine is tried again")
   {
-    cr_assert_not(is_slow(*find(r, "b"), usual, now + 5000));
+    cr_assert_not(is_slow(*find(r, "b"), typical_ms, now + 5000));
   }
 }
 
@@ -144,7 +145,7 @@
   note_success(*find(r, "y"), 25);
   find(r, "x")->in_flight = 3;
   cr_assert(choose_for_call(r, { "quotes", "", {} }, 0, 0.5)->info.id == "y");
-  SECTION("one that failed is avoided for a while")
+  SECTION("a server that failed is avoided for a while")
   {
     note_failure(*find(r, "y"), 1000);
     cr_assert(choose_for_call(r, { "quotes", "", {} }, 1001, 0.5)->info.id ==
@@ -152,7 +153,7 @@
     cr_assert(choose_for_call(r, { "quotes", "", {} }, 1300, 0.5)->info.id ==
               "y");
   }
-  SECTION("and used all the same when there is no other")
+  SECTION("an avoided server is used when there is no other")
   {
     note_failure(*find(r, "y"), 1000);
     cr_assert(
@@ -160,8 +161,8 @@
   }
 }
 
-// Each entry has a call every few seconds, and six servers to send it to.
-// Spread over all of them, each call opens a connection of its own.
+// Each entry makes a call every few seconds and has six servers to choose from.
+// If the calls were spread evenly, nearly each would open a new connection.
 Test(registry, keeps_to_the_server_that_it_is_connected_to)
 {
   registry r;
@@ -180,21 +181,21 @@
   for (const double random : { 0.0, 0.4, 0.9 }) {
     cr_assert(choose_for_call(r, needs, 0, random)->info.id == "y");
   }
-  SECTION("unless it has more to do than the others")
+  SECTION("a connected server with more load is not preferred")
   {
     find(r, "y")->in_flight = 2;
     cr_assert(choose_for_call(r, needs, 0, 0)->info.id != "y");
   }
-  SECTION("or has failed")
+  SECTION("a connected server that failed is not preferred")
   {
     note_failure(*find(r, "y"), 1000);
     cr_assert(choose_for_call(r, needs, 1001, 0)->info.id != "y");
   }
 }
 
-// An engine pauses and its six streams fail within some milliseconds. That is
-// one failure: counted as six, the pause of each further one doubled, the
-// engine would stand idle for two seconds after it is well again.
+// An engine pauses and its six streams fail within a few milliseconds. If they
+// counted as six failures, each doubling the backoff, the engine would be idle
+// for two seconds after it has recovered.
 Test(registry, counts_failures_that_come_together_once)
 {
   auto r = two_engines();
@@ -203,7 +204,7 @@
     note_failure(b, 1000 + i);
   }
   cr_assert_leq(b.avoided_until_ms, 1300);
-  SECTION("a later one counts and doubles the pause")
+  SECTION("a later failure counts and doubles the backoff")
   {
     const auto now = b.avoided_until_ms + 1;
     note_failure(b, now);
@@ -214,7 +215,7 @@
 namespace {
 
 announcement
-engine_of_life(std::uint64_t started_ms, std::uint64_t version)
+engine_started_at(std::uint64_t started_ms, std::uint64_t version)
 {
   auto a = engine("a", version);
   a.started_ms = started_ms;
@@ -223,56 +224,58 @@
 
 } // namespace
 
-// An engine crashes with eight runs on it and starts again under its id. It
-// runs nothing and holds what its new life says. Believed to be full, or to
-// have the weights of before, it would stand idle or refuse what it is sent.
-Test(registry, believes_nothing_of_the_life_before)
+// An engine crashes with eight runs and restarts under the same id. If the old
+// state were kept, the engine would be taken for full and stay idle, or be sent
+// items for weights that it no longer has and refuse them.
+Test(registry, resets_state_when_a_server_restarts)
 {
   registry r;
-  announce(r, engine_of_life(1000, 7));
+  announce(r, engine_started_at(1000, 7));
   auto* b = find(r, "a");
   const auto before = incarnation_of(*b);
   b->in_flight = 8;
   note_failure(*b, 50);
   note_refusal(*b, "m", 50);
   note_pace(*b, 400, 50);
-  cr_assert(announce(r, engine_of_life(2000, 6)) ==
+  cr_assert(announce(r, engine_started_at(2000, 6)) ==
             announce_result::new_incarnation);
   cr_assert_eq(b->in_flight, 0);
-  cr_assert_eq(b->info.versions["m"], 6, "its versions begin anew");
+  cr_assert_eq(b->info.versions["m"],
+               6,
+               "versions of the old incarnation must be dropped");
   cr_assert_eq(b->pace_ms, 0);
   cr_assert_not_null(choose_for_item(r, needs(6), 60));
-  SECTION("ends of the old runs are not counted into the new life")
+  SECTION("results of old runs are not counted for the new incarnation")
   {
     cr_assert_null(find(r, before));
     cr_assert_not_null(find(r, incarnation_of(*b)));
   }
-  SECTION("an entry that tells of no life is another writer's here")
+  SECTION("an entry without a start time is dropped as another writer's")
   {
-    auto told = r;
-    cr_assert(announce(told, engine("x", 9)) ==
+    auto copy = r;
+    cr_assert(announce(copy, engine("x", 9)) ==
               announce_result::no_incarnation);
-    cr_assert_null(find(told, "x"));
-    cr_assert(announce(told, engine("a", 9)) ==
+    cr_assert_null(find(copy, "x"));
+    cr_assert(announce(copy, engine("a", 9)) ==
               announce_result::no_incarnation);
-    cr_assert_null(find(told, "a"), "it was written over");
+    cr_assert_null(find(copy, "a"), "the overwritten entry must be dropped");
   }
-  SECTION("late word of the old life is left out, from a watch or a list")
+  SECTION("a delayed announcement is ignored, from a watch or a list")
   {
     const auto known = *b;
-    cr_assert(announce(r, engine_of_life(1000, 9)) ==
+    cr_assert(announce(r, engine_started_at(1000, 9)) ==
               announce_result::past_incarnation);
     cr_assert(*find(r, "a") == known);
-    const auto changes = replace_all(r, { engine_of_life(1000, 9) }, 70);
+    const auto changes = replace_all(r, { engine_started_at(1000, 9) }, 70);
     cr_assert(*find(r, "a") == known);
     cr_assert_eq(changes.size(), 1);
     cr_assert(changes.front().what == announce_result::past_incarnation);
   }
 }
 
-// Somebody writes over the entry of a backend server, just after an outage,
-// when lapsed entries are kept for a while. This one did not lapse.
-Test(registry, drops_what_names_nobody_at_once)
+// Another writer overwrites the entry of a backend server just after an outage,
+// while expired entries are kept. This entry did not expire, so it is dropped.
+Test(registry, drops_an_overwritten_entry_at_once)
 {
   auto r = two_engines();
   r.keep_missing_until_ms = 12000;
@@ -280,16 +283,17 @@
   cr_assert_null(find(r, "a"));
 }
 
-// Nobody tells of a life in this deployment, but an entry of another writer
-// does. Taken for the rule, it would take every backend server away.
-Test(registry, keeps_its_backend_servers_beside_one_odd_entry)
+// No server in this deployment publishes a start time, but one entry of another
+// writer does. If that entry set the rule, every backend server would be
+// dropped.
+Test(registry, keeps_servers_when_a_single_entry_has_a_start_time)
 {
   auto r = two_engines();
-  auto odd = engine("x", 5);
-  odd.started_ms = 1000;
-  announce(r, odd);
+  auto foreign = engine("x", 5);
+  foreign.started_ms = 1000;
+  announce(r, foreign);
   cr_assert(announce(r, engine("a", 6)) == announce_result::same_incarnation);
-  replace_all(r, { odd, engine("a", 6), engine("b", 6) }, 10);
+  replace_all(r, { foreign, engine("a", 6), engine("b", 6) }, 10);
   cr_assert_not_null(find(r, "a"));
   cr_assert_not_null(find(r, "b"));
 }
--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -7,54 +7,57 @@
 
 namespace {
 
-// A lapsed entry is back within about two seconds of the store's return if
-// its backend server lives, says the platform.
+// The platform guarantees that a live backend server has announced itself again
+// about two seconds after the store is back.
 constexpr std::uint64_t keep_missing_ms = 2000;
 
-// A reported load describes other callers' work for this long: a few times
-// the time of a plain call, less than that of a stream.
-constexpr std::uint64_t load_age_limit_ms = 1000;
+// Age up to which a reported load still describes the work of other callers: a
+// few times the duration of a plain call, less than that of a stream.
+constexpr std::uint64_t max_load_age_ms = 1000;
 
-// A slow mark holds this long without a new event, so that a backend server
-// that recovered is tried again.
-constexpr std::uint64_t pace_age_limit_ms = 2500;
+// Age at which a measured stream pace is discarded, so that a backend server
+// that was slow and has recovered is tried again.
+constexpr std::uint64_t max_pace_age_ms = 2500;
 
-// Engines differ by tens of percent under load; a slow one by a factor.
+// Under load, healthy engines differ by tens of percent; a slow engine differs
+// by a factor.
 constexpr double slow_factor = 1.9;
 
-// Weight of a new sample. Four events of a slow engine move its pace past the
-// slow factor.
+// Weight of a new sample in the moving average. With this pace gain, four
+// events of a slow engine move its average past the slow factor.
 constexpr double pace_gain = 0.35;
 constexpr double call_gain = 0.2;
 
-// Pause after the first failure, doubled with each further one.
-constexpr std::uint64_t first_avoid_ms = 250;
-constexpr std::uint64_t longest_avoid_ms = 2000;
+// Backoff after the first failure; it doubles with each further failure.
+constexpr std::uint64_t min_avoid_ms = 250;
+constexpr std::uint64_t max_avoid_ms = 2000;
 
-// A load takes about a second; each refused run costs a message both ways.
-constexpr std::uint64_t refused_pause_ms = 250;
+// Loading weights takes about a second, and each refused run costs a request
+// and a response.
+constexpr std::uint64_t refusal_pause_ms = 250;
 
-// In units of one running request for each slot: a near backend server wins
-// over an equally loaded far one, and no more.
+// Unit: one running request per slot. The far penalty only breaks ties: a
+// nearby server is preferred over an equally loaded one in another data centre.
 constexpr double far_penalty = 0.05;
 constexpr double slow_penalty = 4;
 
-// What opening a connection adds to a call: a round trip between data centres
-// and the server's work on it. A server that is faster or less loaded by more
-// than that is taken all the same.
+// Time that opening a connection adds to a call: a round trip between data
+// centres plus the server's own work. A server that is faster or less loaded by
+// more than this is still preferred over a connected one.
 constexpr double connect_cost_ms = 3;
 
 std::uint32_t
-told_of(const backend& b, std::uint64_t now_ms)
+peer_runs_of(const backend& b, std::uint64_t now_ms)
 {
-  return now_ms - b.told_at_ms < load_age_limit_ms ? b.told : 0;
+  return now_ms - b.peer_runs_at_ms < max_load_age_ms ? b.peer_runs : 0;
 }
 
 double
 load_of(const backend& b, std::uint64_t now_ms)
 {
-  const bool fresh = now_ms - b.others_at_ms < load_age_limit_ms;
-  const double all = b.in_flight + told_of(b, now_ms) + (fresh ? b.others : 0);
+  const bool fresh = now_ms - b.other_load_at_ms < max_load_age_ms;
+  const double all =
+    b.in_flight + peer_runs_of(b, now_ms) + (fresh ? b.other_load : 0);
   return all / std::max<std::uint32_t>(b.info.slots, 1);
 }
 
@@ -82,25 +85,25 @@
          (needs.only_version == 0 || found->second == needs.only_version);
 }
 
-// In a deployment whose backend servers may start again all of them tell when
-// their life began. Most decide: one entry of another writer, with a life where
-// nobody tells of one, must not take all others away.
+// In a deployment whose backend servers can restart, all of them publish a
+// start time. The majority decides, because a single entry of a different
+// writer that carries a start time must not make all other servers invalid.
 bool
-lives_are_told(const registry& r)
+most_report_incarnation(const registry& r)
 {
-  const auto told =
+  const auto reporting =
     std::count_if(r.all.begin(), r.all.end(), [](const auto& e) {
       return e.second.info.started_ms != 0;
     });
-  return 2 * static_cast<std::size_t>(told) > r.all.size();
+  return 2 * static_cast<std::size_t>(reporting) > r.all.size();
 }
 
 } // namespace
 
 std::string_view
-name_of(announced a) noexcept
+name_of(announce_result result) noexcept
 {
-  switch (a) {
+  switch (result) {
     case announce_result::same_incarnation:
       return "same_life";
     case announce_result::new_incarnation:
@@ -113,17 +116,18 @@
   return "unknown";
 }
 
-announced
+announce_result
 announce(registry& r, announcement a)
 {
-  if (a.started_ms == 0 && lives_are_told(r)) {
+  if (a.started_ms == 0 && most_report_incarnation(r)) {
     drop(r, a.id);
     return announce_result::no_incarnation;
   }
   auto& b = r.all[a.id];
   const auto known = b.info.started_ms;
-  // A late word would bring back load, versions and runs of a process that is
-  // gone: items would go to an engine that refuses them, or be believed to run.
+  // A delayed announcement would restore the load, versions and runs of a
+  // process that no longer exists: items would be sent to an engine that
+  // refuses them, or be taken for running.
   if (a.started_ms < known) {
     return announce_result::past_incarnation;
   }
@@ -131,10 +135,11 @@
   if (is_new) {
     b = {};
   }
-  // Versions only grow while it lives; its word may be older than ours.
+  // Versions only grow within an incarnation, and the announcement may be older
+  // than what this instance has learned from responses.
   for (const auto& [model, version] : b.info.versions) {
-    auto& said = a.versions[model];
-    said = std::max(said, version);
+    auto& current = a.versions[model];
+    current = std::max(current, version);
   }
   b.info = std::move(a);
   b.missing_since_ms = 0;
@@ -171,12 +176,13 @@
       b.missing_since_ms = std::max<std::uint64_t>(now_ms, 1);
     }
   }
-  // Those that tell of a life first: whether most do is then known.
+  // Apply announcements with a start time first, so that
+  // `most_report_incarnation` is accurate for the others.
   std::stable_partition(
     list.begin(), list.end(), [](const auto& a) { return a.started_ms != 0; });
   std::vector<incarnation_change> changes;
   for (auto& a : list) {
-    const life of{ a.id, a.started_ms };
+    const incarnation of{ a.id, a.started_ms };
     const auto what = announce(r, std::move(a));
     if (what != announce_result::same_incarnation) {
       changes.push_back({ of, what });
@@ -204,14 +210,14 @@
   return found == r.all.end() ? nullptr : &found->second;
 }
 
-life
+incarnation
 incarnation_of(const backend& b)
 {
   return { b.info.id, b.info.started_ms };
 }
 
 backend*
-find(registry& r, const life& l)
+find(registry& r, const incarnation& l)
 {
   auto* b = find(r, l.id);
   return b != nullptr && b->info.started_ms == l.started_ms ? b : nullptr;
@@ -230,15 +236,15 @@
 void
 note_failure(backend& b, std::uint64_t now_ms)
 {
-  // Requests that were out there together fail together: one event, not many.
-  // Counted singly, six streams of an engine that paused would keep it without
-  // work for the longest pause.
+  // Concurrent requests to a server fail together, so their failures count as
+  // one. Counted separately, the failures of six streams on an engine that
+  // paused would avoid it for the maximum time.
   if (now_ms < b.avoided_until_ms) {
     return;
   }
   constexpr std::uint32_t doublings = 3;
-  const auto pause = std::min(first_avoid_ms << std::min(b.failures, doublings),
-                              longest_avoid_ms);
+  const auto pause =
+    std::min(min_avoid_ms << std::min(b.failures, doublings), max_avoid_ms);
   ++b.failures;
   b.avoided_until_ms = now_ms + pause;
 }
@@ -246,16 +252,16 @@
 void
 note_refusal(backend& b, const std::string& model, std::uint64_t now_ms)
 {
-  b.refused_until_ms[model] = now_ms + refused_pause_ms;
+  b.refused_until_ms[model] = now_ms + refusal_pause_ms;
 }
 
 void
 note_load(backend& b, const reported_load& l, std::uint64_t now_ms)
 {
   const auto all = l.running + l.waiting;
-  const auto known = b.in_flight + told_of(b, now_ms);
-  b.others = all > known ? all - known : 0;
-  b.others_at_ms = now_ms;
+  const auto known = b.in_flight + peer_runs_of(b, now_ms);
+  b.other_load = all > known ? all - known : 0;
+  b.other_load_at_ms = now_ms;
 }
 
 void
@@ -265,15 +271,15 @@
 {
   for (auto& [id, b] : r.all) {
     const auto found = runs.find(id);
-    b.told = found == runs.end() ? 0 : found->second;
-    b.told_at_ms = now_ms;
+    b.peer_runs = found == runs.end() ? 0 : found->second;
+    b.peer_runs_at_ms = now_ms;
   }
 }
 
 void
 note_pace(backend& b, double gap_ms, std::uint64_t now_ms)
 {
-  const bool old = now_ms - b.pace_at_ms > pace_age_limit_ms;
+  const bool old = now_ms - b.pace_at_ms > max_pace_age_ms;
   b.pace_ms = b.pace_ms == 0 || old
                 ? gap_ms
                 : b.pace_ms + pace_gain * (gap_ms - b.pace_ms);
@@ -285,7 +291,7 @@
 {
   std::vector<double> known;
   for (const auto& [id, b] : r.all) {
-    const bool fresh = now - b.pace_at_ms <= pace_age_limit_ms;
+    const bool fresh = now - b.pace_at_ms <= max_pace_age_ms;
     if (b.info.service == service && b.pace_ms > 0 && fresh) {
       known.push_back(b.pace_ms);
     }
@@ -299,10 +305,10 @@
 }
 
 bool
-is_slow(const backend& b, double usual, std::uint64_t now_ms)
+is_slow(const backend& b, double typical_ms, std::uint64_t now_ms)
 {
-  const bool fresh = now_ms - b.pace_at_ms <= pace_age_limit_ms;
-  return fresh && usual > 0 && b.pace_ms > slow_factor * usual;
+  const bool fresh = now_ms - b.pace_at_ms <= max_pace_age_ms;
+  return fresh && typical_ms > 0 && b.pace_ms > slow_factor * typical_ms;
 }
 
 backend*
@@ -311,8 +317,9 @@
                 std::uint64_t now_ms,
                 double random)
 {
-  // Two passes: those avoided after failures come last, as all may be.
-  for (const bool careful : { true, false }) {
+  // The second pass includes servers that are avoided after failures: they are
+  // the last resort when every server is avoided.
+  for (const bool skip_avoided : { true, false }) {
     backend* best = nullptr;
     double best_cost = std::numeric_limits<double>::max();
     std::uint32_t equal = 0;
@@ -320,7 +327,7 @@
       const bool was_tried =
         std::find(needs.tried.begin(), needs.tried.end(), id) !=
         needs.tried.end();
-      const bool open = careful ? is_open(b, now_ms) : !b.info.leaving;
+      const bool open = skip_avoided ? is_open(b, now_ms) : !b.info.leaving;
       if (b.info.service != needs.service || was_tried || !open) {
         continue;
       }
@@ -328,10 +335,10 @@
         (1 + load_of(b, now_ms)) * std::max(b.call_ms, 1.0) +
         (needs.is_connected(b.info.address) ? 0 : connect_cost_ms) +
         (b.info.data_centre == needs.data_centre ? 0 : far_penalty);
-      constexpr double same = 1e-9;
-      equal = cost < best_cost - same ? 1 : equal + 1;
-      if (cost < best_cost - same ||
-          (cost < best_cost + same && random * equal < 1)) {
+      constexpr double tolerance = 1e-9;
+      equal = cost < best_cost - tolerance ? 1 : equal + 1;
+      if (cost < best_cost - tolerance ||
+          (cost < best_cost + tolerance && random * equal < 1)) {
         best = &b;
         best_cost = cost;
       }
@@ -346,7 +353,7 @@
 backend*
 choose_for_item(registry& r, const item_needs& needs, std::uint64_t now_ms)
 {
-  const auto usual = typical_pace_ms(r, needs.service, now_ms);
+  const auto typical_ms = typical_pace_ms(r, needs.service, now_ms);
   backend* best = nullptr;
   double best_cost = std::numeric_limits<double>::max();
   for (auto& [id, b] : r.all) {
@@ -355,7 +362,7 @@
       continue;
     }
     const double cost =
-      load_of(b, now_ms) + (is_slow(b, usual, now_ms) ? slow_penalty : 0) +
+      load_of(b, now_ms) + (is_slow(b, typical_ms, now_ms) ? slow_penalty : 0) +
       (b.info.data_centre == needs.data_centre ? 0 : far_penalty);
     if (cost < best_cost) {
       best = &b;
@@ -368,7 +375,7 @@
 bool
 can_serve(const registry& r, const item_needs& needs)
 {
-  // Engines that refuse for the moment count.
+  // Engines that refuse runs temporarily also count.
   constexpr auto never_refused = std::numeric_limits<std::uint64_t>::max();
   return std::any_of(r.all.begin(), r.all.end(), [&](const auto& e) {
     return accepts(e.second, needs, never_refused);
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -1,5 +1,6 @@
-// Backend servers that this instance knows, and which of them takes the next
-// piece of work. Pure: time and chance are passed in.
+// Registry of known backend servers and the load balancer that picks one for
+// each request. Free of side effects: the current time and random numbers are
+// parameters.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +12,27 @@
 
 namespace cactusford::backends {
 
-// What a backend server says of itself. It may start again under its id: each
-// life holds and knows nothing of the one before.
+// What a backend server publishes about itself. A server may restart under the
+// same id; each incarnation starts without any state of the previous one.
 struct announcement
 {
   std::string id;
-  // When this life started, in Unix milliseconds of the backend server's own
-  // clock. A greater value is a later life. 0: not told.
+  // Start time of this incarnation in Unix milliseconds, by the backend
+  // server's own clock. A greater value is a later incarnation; 0 means that
+  // the server does not publish it.
   std::uint64_t started_ms = 0;
   std::string service;
   std::string address;
   std::string data_centre;
   std::uint32_t slots = 1;
   bool leaving = false;
-  // Weight version by model.
+  // Weight version for each model.
   std::map<std::string, std::uint64_t> versions;
 
   friend bool operator==(const announcement&, const announcement&) = default;
 };
 
-// A backend server's own word on its load, from an answer.
+// Load that a backend server reported in a response.
 struct reported_load
 {
   std::uint32_t running = 0;
@@ -40,39 +42,39 @@
   friend bool operator==(const reported_load&, const reported_load&) = default;
 };
 
-// One life of a backend server.
-struct life
+// One run of a backend server process, from its start to its exit.
+struct incarnation
 {
   std::string id;
   std::uint64_t started_ms = 0;
 
-  friend bool operator==(const life&, const life&) = default;
+  friend bool operator==(const incarnation&, const incarnation&) = default;
 };
 
-// What this instance has seen of it in its present life.
+// State that this instance tracks for the current incarnation of a server.
 struct backend
 {
-  announcement said;
-  // Requests of this instance that are running there.
+  announcement info;
+  // Requests sent by this instance that are still running on the server.
   std::uint32_t in_flight = 0;
-  // Work of others there: what they have told of, and what else the last
-  // reported load shows.
-  std::uint32_t told = 0;
-  std::uint64_t told_at_ms = 0;
-  std::uint32_t others = 0;
-  std::uint64_t others_at_ms = 0;
-  // No new work before this time, after failures.
+  // Load from other instances: runs that they reported, and the rest of the
+  // load that the server last reported.
+  std::uint32_t peer_runs = 0;
+  std::uint64_t peer_runs_at_ms = 0;
+  std::uint32_t other_load = 0;
+  std::uint64_t other_load_at_ms = 0;
+  // After failures the server gets no new work before this time.
   std::uint64_t avoided_until_ms = 0;
   std::uint32_t failures = 0;
-  // An engine that is loading weights refuses runs of that model; it is asked
-  // again from this time on.
+  // By model: an engine that is loading weights refuses runs of that model and
+  // is not retried before this time.
   std::map<std::string, std::uint64_t> refused_until_ms;
-  // Milliseconds between the events of a stream, smoothed; 0: not known.
+  // Moving average of the time between two events of a stream; 0 if unknown.
   double pace_ms = 0;
   std::uint64_t pace_at_ms = 0;
-  // Milliseconds of a plain call, smoothed; 0: not known.
+  // Moving average of the duration of a plain call; 0 if unknown.
   double call_ms = 0;
-  // Missing from the platform's list since; 0: listed.
+  // When the server disappeared from the platform's list; 0 if it is listed.
   std::uint64_t missing_since_ms = 0;
 
   friend bool operator==(const backend&, const backend&) = default;
@@ -81,119 +83,124 @@
 struct registry
 {
   std::map<std::string, backend> all;
-  // Entries that lapsed while the store was away stay until this time, in
-  // which live backend servers announce themselves again.
+  // Entries that expired during a store outage are kept until this time, so
+  // that live backend servers can announce themselves again.
   std::uint64_t keep_missing_until_ms = 0;
 
   friend bool operator==(const registry&, const registry&) = default;
 };
 
-// What an announcement has changed.
-enum class announced
+// Effect of an announcement on the registry.
+enum class announce_result
 {
-  // Known, or new to this instance.
-  same_life,
-  // It has started again: all that was believed of it is dropped.
-  new_life,
-  // Late word of a life that has ended; left out.
-  ended_life,
-  // It tells of no life where most do; left out, as another writer's.
-  no_life,
+  // The incarnation is already known, or the server is new to this instance.
+  same_incarnation,
+  // The server has restarted; all state tracked for it is reset.
+  new_incarnation,
+  // A delayed announcement of an earlier incarnation; ignored.
+  past_incarnation,
+  // No start time although most servers publish one. The entry comes from a
+  // different writer and is dropped.
+  no_incarnation,
 };
 
 std::string_view
-name_of(announced a) noexcept;
+name_of(announce_result result) noexcept;
 
 struct incarnation_change
 {
-  life of;
-  announced what = announce_result::same_incarnation;
+  incarnation of;
+  announce_result what = announce_result::same_incarnation;
 
   friend bool operator==(const incarnation_change&,
                          const incarnation_change&) = default;
 };
 
-announced
+announce_result
 announce(registry& r, announcement a);
 
 void
 withdraw(registry& r, const std::string& id, std::uint64_t now_ms);
 
-// What names no backend server any more is dropped at once, also while lapsed
-// entries are kept.
+// Removes an entry that no longer describes a backend server, even while
+// expired entries are kept.
 void
 drop(registry& r, const std::string& id);
 
-// Takes in a whole list. Returns the lives that began or had ended.
+// Applies a complete list of announcements. Returns the changes other than
+// `same_incarnation`.
 std::vector<incarnation_change>
 replace_all(registry& r, std::vector<announcement> list, std::uint64_t now_ms);
 
-// Forgets what has been missing too long. True when something changed.
+// Removes servers that are missing from the platform's list, except while
+// `keep_missing_until_ms` is in the future. Returns true if any was removed.
 bool
 expire(registry& r, std::uint64_t now_ms);
 
 backend*
 find(registry& r, const std::string& id);
 
-life
+incarnation
 incarnation_of(const backend& b);
 
-// The backend server, if it is still in that life. Requests that were sent in
-// an earlier one say nothing of this one.
+// Returns the backend server if it still runs this incarnation, else null:
+// results of requests to an earlier incarnation say nothing about this one.
 backend*
-find(registry& r, const life& l);
+find(registry& r, const incarnation& l);
 
-// A request was answered or failed there.
+// Records that a request to the server succeeded or failed.
 void
 note_success(backend& b, std::uint64_t took_ms);
 
 void
 note_failure(backend& b, std::uint64_t now_ms);
 
-// It refused a run of that model without running it.
+// Records that the server refused a run of this model without starting it.
 void
 note_refusal(backend& b, const std::string& model, std::uint64_t now_ms);
 
 void
 note_load(backend& b, const reported_load& l, std::uint64_t now_ms);
 
-// Other instances have told what they have running, by backend server.
+// Records how many runs the other instances reported for each backend server.
 void
 set_peer_runs(registry& r,
               const std::map<std::string, std::uint32_t>& runs,
               std::uint64_t now_ms);
 
-// The pause before one event of a stream.
+// Records the time between two events of a stream.
 void
 note_pace(backend& b, double gap_ms, std::uint64_t now_ms);
 
-// The pace that a healthy engine of the service shows: the lower quartile of
-// the known ones. 0: not known.
+// Time between stream events on a healthy engine of the service: the lower
+// quartile over all engines with a recent value. 0 if there are none.
 double
 typical_pace_ms(const registry& r, std::string_view service, std::uint64_t now);
 
-// True when its streams run far slower than those of its peers.
+// Returns true if the server's streams are much slower than its peers'.
 bool
-is_slow(const backend& b, double typical_pace_ms, std::uint64_t now_ms);
+is_slow(const backend& b, double typical_ms, std::uint64_t now_ms);
 
 struct call_needs
 {
   std::string_view service;
   std::string_view data_centre;
-  // Ids of those that had it before.
+  // Ids of the servers that were already tried for this call.
   std::vector<std::string> tried;
-  // A connection to this address is open and free.
+  // Returns true if an idle open connection to this address exists.
   std::function<bool(const std::string&)> is_connected = [](const auto&) {
     return false;
   };
 };
 
-// Which backend server gets a plain call: the least loaded of those not yet
-// tried, fast, connected and near ones first. Null when none is left.
+// Picks a backend server for a plain call: the least loaded one that was not
+// tried yet, preferring fast, connected and nearby servers. Returns null if
+// none is left.
 //
-// Pattern: 58 entries share six servers, and each has a call every few seconds.
-// Sent to another server each time, nearly every call opens a connection, which
-// costs its caller a round trip and the server a place while it is new.
+// Open connections are preferred because with 58 entries that share six servers
+// and make a call every few seconds each, spreading the calls would open a
+// connection for nearly every one. That costs the caller a round trip and the
+// server a connection slot while it is new.
 backend*
 choose_for_call(registry& r,
                 const call_needs& needs,
@@ -205,19 +212,20 @@
   std::string_view service;
   std::string_view model;
   std::uint64_t min_version = 0;
-  // Nothing but this version, unless 0.
+  // If not 0, only this version is accepted.
   std::uint64_t only_version = 0;
-  // The one that just failed it.
-  std::string_view not_on;
+  // The engine on which the item just failed.
+  std::string_view excluded_id;
   std::string_view data_centre;
 };
 
-// Which engine runs an item: one with a free slot, the least loaded, slow ones
-// last. Null when none has room.
+// Picks an engine for an item: the least loaded one with a free slot, slow
+// engines last. Returns null if no engine has a free slot.
 backend*
 choose_for_item(registry& r, const item_needs& needs, std::uint64_t now_ms);
 
-// True when some ready engine has weights that the item accepts, full or not.
+// Returns true if some engine that is not leaving has weights that the item
+// accepts, whether or not it has a free slot.
 bool
 can_serve(const registry& r, const item_needs& needs);
 
--- a/cactusford/quarantine/evidence-test.cc
+++ b/cactusford/quarantine/evidence-test.cc
@@ -29,23 +29,23 @@
   void add(report r)
   {
     r.at_ms = now;
-    take(e, r.reporter + "." + std::to_string(next++), std::move(r));
+    add_report(e, r.reporter + "." + std::to_string(next++), std::move(r));
   }
 
   // A second later a backend server ends; an instance was running these there.
   void end(const std::string& backend,
-           std::vector<fingerprint> ran,
+           std::vector<fingerprint> running,
            const std::string& reporter = "entry-0")
   {
     now += second_ms;
-    end_now(backend, std::move(ran), reporter);
+    end_now(backend, std::move(running), reporter);
   }
 
   void end_now(const std::string& backend,
-               std::vector<fingerprint> ran,
+               std::vector<fingerprint> running,
                const std::string& reporter = "entry-0")
   {
-    add({ reporter, now, { { backend, 1, std::move(ran) } }, {} });
+    add({ reporter, now, { { backend, 1, std::move(running) } }, {} });
   }
 
   void try_again(const fingerprint& f) { add({ "entry-0", now, {}, {}, f }); }
@@ -54,7 +54,7 @@
 
   request_status of(const fingerprint& f, run_kind kind = run_kind::call)
   {
-    return judge(e, f, kind, now).what;
+    return evaluate(e, f, kind, now).status;
   }
 };
 
@@ -79,7 +79,7 @@
     t.end("a", { bystander }, "entry-1");
     t.end("b", { bystander }, "entry-0");
     cr_assert(t.of(bystander) == request_status::suspected);
-    cr_assert_eq(judge(t.e, bystander, run_kind::call, t.now).ends, 2);
+    cr_assert_eq(evaluate(t.e, bystander, run_kind::call, t.now).crashes, 2);
   }
 }
 
@@ -162,15 +162,15 @@
   const auto end_rack = [&s](const std::string& rack, int works) {
     s.now += second_ms;
     for (int server = 0; server < 40; ++server) {
-      std::vector<fingerprint> ran;
+      std::vector<fingerprint> running;
       for (int i = 0; i < 2; ++i) {
-        ran.push_back("work-" + std::to_string((server * 2 + i) % works));
+        running.push_back("work-" + std::to_string((server * 2 + i) % works));
       }
-      s.end_now(rack + std::to_string(server), ran);
+      s.end_now(rack + std::to_string(server), running);
     }
   };
   end_rack("a", 60);
-  cr_assert(refused_calls(s.e, s.now).empty());
+  cr_assert(quarantined_calls(s.e, s.now).empty());
   SECTION("nor does one that comes again and again, if an idle server shows it")
   {
     story t;
@@ -190,7 +190,7 @@
     t.end_now("a", { bystander, "work-1" });
     t.end_now("b", { "work-2", bystander }, "entry-1");
     t.end_now("c", { bystander }, "entry-2");
-    cr_assert_eq(judge(t.e, bystander, run_kind::call, t.now).ends, 1);
+    cr_assert_eq(evaluate(t.e, bystander, run_kind::call, t.now).crashes, 1);
   }
   SECTION("ends of one request alone count each, however close")
   {
@@ -221,8 +221,8 @@
     for (const auto* backend : { "b", "c", "d" }) {
       t.end(backend, { poisonous, bystander });
     }
-    const auto v = judge(t.e, bystander, run_kind::call, t.now);
-    cr_assert(v.what == request_status::clear);
+    const auto v = evaluate(t.e, bystander, run_kind::call, t.now);
+    cr_assert(v.status == request_status::clear);
     cr_assert_eq(v.explained, 3);
     cr_assert(has_crashes(v), "one run at a time");
     t.end("e", { poisonous, bystander });
@@ -232,7 +232,7 @@
   {
     s.now += second_ms;
     s.answer(third);
-    cr_assert_not(has_crashes(judge(s.e, third, run_kind::call, s.now)));
+    cr_assert_not(has_crashes(evaluate(s.e, third, run_kind::call, s.now)));
   }
 }
 
@@ -284,7 +284,7 @@
   for (const auto* backend : { "a", "b", "c" }) {
     s.end(backend, { poisonous });
   }
-  const auto v = judge(s.e, poisonous, run_kind::call, s.now);
+  const auto v = evaluate(s.e, poisonous, run_kind::call, s.now);
   cr_assert_eq(v.until_ms, s.now + 10 * minute_ms);
   SECTION("kept out for ten minutes")
   {
@@ -298,7 +298,7 @@
     s.try_again(poisonous);
     cr_assert(s.of(poisonous) == request_status::quarantined);
     s.end("d", { poisonous });
-    cr_assert_eq(judge(s.e, poisonous, run_kind::call, s.now).until_ms,
+    cr_assert_eq(evaluate(s.e, poisonous, run_kind::call, s.now).until_ms,
                  s.now + 10 * minute_ms);
   }
   SECTION("or cleared by an answer")
@@ -310,7 +310,7 @@
   SECTION("after an hour nothing is left of it")
   {
     s.now += 60 * minute_ms + 1;
-    cr_assert_eq(expire(s.e, s.now).size(), 6);
+    cr_assert_eq(expire_reports(s.e, s.now).size(), 6);
     cr_assert(s.of(poisonous) == request_status::clear);
     cr_assert(s.e.reports.empty());
   }
@@ -324,7 +324,7 @@
     s.now += 1;
     s.end("server-" + std::to_string(i), { "work-" + std::to_string(i) });
   }
-  cr_assert_eq(s.e.reports.size(), s.e.limits.reports);
+  cr_assert_eq(s.e.reports.size(), s.e.limits.max_reports);
   SECTION("the oldest go first")
   {
     cr_assert(s.of("work-0") == request_status::clear);
@@ -343,7 +343,7 @@
   constexpr double day_s = 86400;
   constexpr double budget_bytes_s = 2048;
   report r{ "entry-dc-a-0001", start_ms, { { "i-7f3a91c2de", 1, {} } }, {} };
-  r.ended[0].ran = { poisonous, bystander };
+  r.crashes[0].running = { poisonous, bystander };
   const auto bytes = static_cast<double>(encode(r).dump().size());
   const auto bytes_s = bytes * entries_at_a_server * ends_a_day / day_s;
   std::printf(
@@ -358,7 +358,7 @@
 {
   int others_refused = 0;
   // Servers that the poisonous one ended.
-  int ends = 0;
+  int crashes = 0;
 };
 
 // Ten minutes of a service of 300 kinds of work in which a server ends every
@@ -378,21 +378,21 @@
   constexpr int rounds = 120;
   constexpr int seconds_between = 5;
   for (int i = 0; i < rounds; ++i) {
-    std::vector<fingerprint> ran;
+    std::vector<fingerprint> running;
     for (auto beside = below(4); beside > 0; --beside) {
-      ran.push_back(std::to_string(1'000'000'000'000'000 + below(300)));
+      running.push_back(std::to_string(1'000'000'000'000'000 + below(300)));
     }
     if (below(4) == 0 && s.of(poisonous) != request_status::quarantined) {
-      ++t.ends;
-      ran.push_back(poisonous);
+      ++t.crashes;
+      running.push_back(poisonous);
       if (below(2) == 0) {
-        ran.push_back(bystander);
+        running.push_back(bystander);
       }
     }
-    s.end_now("s" + std::to_string(i), ran);
-    unanswered.insert(ran.begin(), ran.end());
+    s.end_now("s" + std::to_string(i), running);
+    unanswered.insert(running.begin(), running.end());
     unanswered.erase(poisonous);
-    for (const auto& [f, v] : refused_calls(s.e, s.now)) {
+    for (const auto& [f, v] : quarantined_calls(s.e, s.now)) {
       t.others_refused += f != poisonous ? 1 : 0;
     }
     for (int second = 0; second < seconds_between; ++second) {
@@ -420,11 +420,11 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const auto t = play(seed, {});
     all.others_refused += t.others_refused;
-    all.ends = std::max(all.ends, t.ends);
+    all.crashes = std::max(all.crashes, t.crashes);
   }
   std::printf("    others refused %d, ends by the poisonous one %d at most\n",
               all.others_refused,
-              all.ends);
+              all.crashes);
   cr_assert_eq(all.others_refused, 0);
-  cr_assert_leq(all.ends, 4);
+  cr_assert_leq(all.crashes, 4);
 }
--- a/cactusford/quarantine/evidence.h
+++ b/cactusford/quarantine/evidence.h
@@ -1,17 +1,17 @@
-// Reports of ended backend servers, and whether a request may be sent. Pure:
-// time is passed in, in milliseconds since 1970, as instances report to each
-// other.
+// Collects reports of backend server crashes and decides whether a request may
+// be sent. Free of side effects: the current time is a parameter, in Unix
+// milliseconds, because instances exchange their timestamps.
 #pragma once
 
 #include "cactusford/quarantine/suspicion.h"
 
 namespace cactusford::quarantine {
 
-// What runs differ in, as far as ends are concerned.
+// Kinds of runs that differ in how many crashes quarantine a request.
 enum class run_kind
 {
   call,
-  // A generation lasts for seconds beside others on its engine.
+  // A generation: it runs for seconds next to others on the same engine.
   item,
 };
 
@@ -19,59 +19,63 @@
 {
   evidence_limits limits;
   reports_by_name reports;
-  // Derived from the reports, when they have changed.
+  // Derived from `reports`; recomputed on access when `changed` is set.
   std::map<fingerprint, suspicion> suspicions;
   bool changed = false;
 
   friend bool operator==(const evidence&, const evidence&) = default;
 };
 
-// A report under its name; the same name again replaces it.
+// Adds a report. A report of the same name is replaced.
 void
-take(evidence& e, const std::string& name, report r);
+add_report(evidence& e, const std::string& name, report r);
 
 void
-drop(evidence& e, const std::string& name);
+remove_report(evidence& e, const std::string& name);
 
-// Drops what is too old to count. Returns its names.
+// Removes reports older than the retention time and returns their names.
 std::vector<std::string>
-expire(evidence& e, std::uint64_t now_ms);
+expire_reports(evidence& e, std::uint64_t now_ms);
 
 enum class request_status
 {
-  // No backend server has ended under it that nothing else explains.
+  // No crash is attributed to the request.
   clear,
-  // Some have.
+  // Crashes are attributed to the request, but too few to quarantine it.
   suspected,
-  // It was kept out long enough: one run at a time, in the whole deployment,
-  // may show whether it still ends them.
+  // The quarantine has expired: one run at a time in the whole deployment may
+  // show whether the request still crashes servers.
   on_trial,
-  // It is not sent to any.
-  refused,
+  // The request is not sent to any backend server.
+  quarantined,
 };
 
-struct verdict
+struct decision
 {
-  request_status what = request_status::clear;
-  std::uint32_t ends = 0;
-  // Ends beside those that another request, or another cause, explains.
+  request_status status = request_status::clear;
+  std::uint32_t crashes = 0;
+  // Further crashes, which are attributed to another request or cause.
   std::uint32_t explained = 0;
-  // For `refused`: when it may be tried again.
+  // For `quarantined`: when the request may be tried again.
   std::uint64_t until_ms = 0;
 
-  friend bool operator==(const verdict&, const verdict&) = default;
+  friend bool operator==(const decision&, const decision&) = default;
 };
 
-// Servers have ended under it, explained or not, and none has answered since.
-// It runs once at a time at each instance, and not again after an end.
+// Returns true if servers crashed while they ran the request, whatever the
+// cause, and none has answered it since. Each instance then runs it one at a
+// time and does not retry it after a crash.
 bool
-has_crashes(const verdict& v) noexcept;
+has_crashes(const decision& v) noexcept;
 
-verdict
-judge(evidence& e, const fingerprint& f, run_kind kind, std::uint64_t now_ms);
+decision
+evaluate(evidence& e,
+         const fingerprint& f,
+         run_kind kind,
+         std::uint64_t now_ms);
 
-// All calls that are kept out now, with what is held against them.
-std::map<fingerprint, verdict>
-refused_calls(evidence& e, std::uint64_t now_ms);
+// Returns all calls that are quarantined now, with the decision on each.
+std::map<fingerprint, decision>
+quarantined_calls(evidence& e, std::uint64_t now_ms);
 
 } // namespace cactusford::quarantine
--- a/cactusford/quarantine/fingerprint-test.cc
+++ b/cactusford/quarantine/fingerprint-test.cc
@@ -7,7 +7,7 @@
 using namespace cactusford;
 using namespace cactusford::quarantine;
 
-Test(quarantine, the_same_work_has_the_same_fingerprint)
+Test(quarantine, repeats_of_a_request_have_the_same_fingerprint)
 {
   const http::request first{
     "POST",
@@ -19,7 +19,7 @@
   again.fields = { { "host", "h" }, { "Request-Id", "2" } };
   cr_assert_eq(fingerprint_of(first), fingerprint_of(again));
   cr_assert_eq(fingerprint_of(first).size(), fingerprint_digits);
-  SECTION("whatever a backend server reads makes another")
+  SECTION("any other part that a backend server reads changes it")
   {
     auto other = first;
     other.body = "bodY";
@@ -31,14 +31,14 @@
     other.fields.push_back({ "Authorization", "Bearer k" });
     cr_assert_neq(fingerprint_of(first), fingerprint_of(other));
   }
-  SECTION("two keys of one workspace do not")
+  SECTION("another key of the same workspace does not change it")
   {
     auto other = first;
     other.fields.push_back({ "Authorization", "Bearer k" });
     cr_assert_eq(fingerprint_of(first, "w"), fingerprint_of(other, "w"));
     cr_assert_neq(fingerprint_of(first, "w"), fingerprint_of(first, "v"));
   }
-  SECTION("and so does where one part ends and the next begins")
+  SECTION("moving a boundary between two parts changes it")
   {
     cr_assert_neq(fingerprint_of({ "h", "GET", "/a", "", "b" }),
                   fingerprint_of({ "h", "GET", "/ab", "", "" }));
--- a/cactusford/quarantine/fingerprint.cc
+++ b/cactusford/quarantine/fingerprint.cc
@@ -8,13 +8,14 @@
 
 namespace cactusford::quarantine {
 
-// Each part is hashed with the parts before it as seed: "a" + "bc" is not
-// "ab" + "c".
+// Each part is hashed with the hash of the preceding parts as seed, so that
+// "a" + "bc" differs from "ab" + "c".
 fingerprint
-fingerprint_of(const work& w)
+fingerprint_of(const fingerprint_input& input)
 {
   XXH64_hash_t hash = 0;
-  for (const auto part : { w.host, w.method, w.target, w.caller, w.body }) {
+  for (const auto part :
+       { input.host, input.method, input.target, input.caller, input.body }) {
     hash = XXH3_64bits_withSeed(part.data(), part.size(), hash);
   }
   std::array<char, fingerprint_digits + 1> text{};
--- a/cactusford/quarantine/fingerprint.h
+++ b/cactusford/quarantine/fingerprint.h
@@ -1,4 +1,4 @@
-// What makes two requests the same work, whatever their ids.
+// Fingerprints identify repeats of the same request regardless of request ids.
 #pragma once
 
 #include "cactusford/http/message.h"
@@ -8,33 +8,33 @@
 
 namespace cactusford::quarantine {
 
-// Sixteen hexadecimal digits; empty: nothing to recognise it by.
+// Sixteen hexadecimal digits, or empty if the request has no fingerprint.
 using fingerprint = std::string;
 
 constexpr std::size_t fingerprint_digits = 16;
 
-// All that a backend server computes its answer from. What differs from one
-// attempt to the next, such as ids and deadlines, is left out.
-struct work
+// The parts of a request that determine the backend server's response. Parts
+// that differ between attempts, such as ids and deadlines, are left out.
+struct fingerprint_input
 {
   std::string_view host;
   std::string_view method;
   std::string_view target;
-  // On whose behalf, as the request itself states it.
+  // The caller that the request itself names.
   std::string_view caller;
   std::string_view body;
 };
 
 fingerprint
-fingerprint_of(const work& w);
+fingerprint_of(const fingerprint_input& input);
 
-// The caller is who the request's credentials say: its address may change from
-// one attempt to the next.
+// Identifies the caller by the request's credentials, because its address may
+// change between attempts.
 fingerprint
 fingerprint_of(const http::request& r);
 
-// The caller is this workspace, whichever of its keys was used: a changed key
-// is no way round.
+// Identifies the caller by its workspace, so that using another key of the same
+// workspace does not evade the quarantine.
 fingerprint
 fingerprint_of(const http::request& r, std::string_view workspace);
 
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -12,66 +12,66 @@
 
 namespace {
 
-// A process that has ended refuses connections at once; one that is cut off
-// does not answer. Instances and backend servers are milliseconds apart.
-constexpr std::uint64_t probe_ms = 250;
+// A crashed process refuses connections at once; an unreachable one does not
+// respond. Round trips between instances and backend servers take milliseconds.
+constexpr std::uint64_t probe_timeout_ms = 250;
 
-// Lives looked at at the same time. Past it more of the deployment is failing
-// than one request can bring down.
-constexpr std::size_t most_unconfirmed = 256;
+// Maximum number of suspected crashes probed at a time. Beyond it, more of the
+// deployment is failing than a single request can take down.
+constexpr std::size_t max_unconfirmed = 256;
 
-// Other servers of the service that are looked at when one has ended: a rack or
-// a release that goes wrong takes most of a small service, and a connection to
-// each of many servers is paid for.
-constexpr std::size_t looked_at_beside = 3;
+// Number of other servers of the service to probe after a crash. A rack failure
+// or a bad release takes down most of a small service, so a few probes find it,
+// and connections to many servers would be costly.
+constexpr std::size_t max_peer_probes = 3;
 
-// All connections to a server that ends are cut within milliseconds: its
-// requests come into one report.
-constexpr std::uint64_t gather_ms = 20;
+// When a server crashes, all of its connections are lost within milliseconds.
+// This delay gathers their requests into one report.
+constexpr std::uint64_t gather_delay_ms = 20;
 
-// Between two reports of an instance, so that a rack that ends costs the store
-// five writes a second for each instance that had work there, at most.
-constexpr std::uint64_t report_pause_ms = 200;
+// Minimum time between two reports of an instance, so that a rack failure costs
+// the store at most five writes a second for each affected instance.
+constexpr std::uint64_t report_interval_ms = 200;
 
-// A report that the store did not take is sent again after this; the store's
-// own outages last seconds.
-constexpr std::uint64_t rewrite_pause_ms = 500;
+// Delay before a report that the store did not accept is sent again. Outages of
+// the store last seconds.
+constexpr std::uint64_t retry_interval_ms = 500;
 
-// Reports that wait for the store: ten seconds of them.
-constexpr std::size_t most_waiting = 50;
+// Maximum number of reports waiting for the store: ten seconds of reports.
+constexpr std::size_t max_pending_reports = 50;
 
-// How long the store may hold the watch. A watch that has gone silent is
-// noticed this much later, below the three seconds in which instances must
-// hear of each other; each answer is a call that is paid for.
+// How long the store may hold a watch request. A stalled watch is noticed only
+// after this time, so it must be less than the three seconds in which reports
+// must reach all instances. Shorter times cost more calls, which are billed.
 constexpr std::uint64_t watch_wait_ms = 2000;
 
-constexpr std::uint64_t tick_ms = 1000;
+constexpr std::uint64_t tick_interval_ms = 1000;
 
-// Expired reports removed at a time, once a second.
-constexpr std::size_t removals_at_once = 2;
+// Maximum number of expired reports removed per tick.
+constexpr std::size_t max_removals_per_tick = 2;
 
 std::string
-key_of(const backends::incarnation& l)
+key_of(const backends::incarnation& i)
 {
-  return l.id + "@" + std::to_string(l.started_ms);
+  return i.id + "@" + std::to_string(i.started_ms);
 }
 
 void
-add_once(std::vector<fingerprint>& all, const fingerprint& f)
+add_unique(std::vector<fingerprint>& all, const fingerprint& f)
 {
-  const bool known = std::find(all.begin(), all.end(), f) != all.end();
-  if (!known && all.size() < most_works) {
+  const bool is_known = std::find(all.begin(), all.end(), f) != all.end();
+  if (!is_known && all.size() < max_fingerprints) {
     all.push_back(f);
   }
 }
 
-// The first of them, as far as one line holds them.
+// Joins the first few fingerprints for a log line.
 std::string
-listed(const std::vector<fingerprint>& all)
+join_first(const std::vector<fingerprint>& all)
 {
-  constexpr std::size_t most_listed = 8;
+  constexpr std::size_t max_joined = 8;
   std::string text;
-  for (std::size_t i = 0; i < std::min(all.size(), most_listed); ++i) {
+  for (std::size_t i = 0; i < std::min(all.size(), max_joined); ++i) {
     text += (text.empty() ? "" : ",") + all[i];
   }
   return text;
@@ -95,12 +95,12 @@
                },
                 [this](store::change&& c) {
                   if (c.deleted) {
-                    drop(evidence_, c.value.name);
+                    remove_report(evidence_, c.value.name);
                   } else {
                     take_object(c.value);
                   }
                 },
-                [this] { log_standings(); } } }
+                [this] { log_status_changes(); } } }
   , ticker_{ io }
   , flusher_{ io }
 {
@@ -114,14 +114,14 @@
   tick();
 }
 
-verdict
-manager::judge(const fingerprint& f, run_kind kind)
+decision
+manager::evaluate(const fingerprint& f, run_kind kind)
 {
-  return quarantine::judge(evidence_, f, kind, timeline::wall_ms());
+  return quarantine::evaluate(evidence_, f, kind, timeline::wall_ms());
 }
 
-// Each instance that tried it by itself would end a server: the store decides
-// on one of them.
+// If each instance ran its own trial, each could crash a server. The store lets
+// only one of them create the trial object.
 void
 manager::claim_trial(const fingerprint& f, std::function<void(bool)> done)
 {
@@ -133,36 +133,36 @@
   store::call c;
   c.op = store::operation::create;
   c.kind = report_kind;
-  c.name = name_of_trial(f, now / settings_.limits.trial_ms);
+  c.name = trial_name(f, now / settings_.limits.trial_ms);
   c.body = encode(trial);
   store_.perform(c, [this, f, name = c.name, trial, done](store::reply&& r) {
-    const bool mine = r.what == store::verdict::done;
+    const bool is_mine = r.what == store::verdict::done;
     process::log_line(timeline::event{ "trial_claimed" }
                         .with("work", f)
                         .with("verdict", store::name_of(r.what))
-                        .with("mine", mine ? 1U : 0U));
-    if (mine) {
-      take(evidence_, name, trial);
+                        .with("mine", is_mine ? 1U : 0U));
+    if (is_mine) {
+      add_report(evidence_, name, trial);
     }
-    done(mine);
+    done(is_mine);
   });
 }
 
-// Ends of a connection are many, ends of a process few. Counted alike, resets
-// and lost answers would make suspects of requests that run well.
+// Lost connections are frequent and crashes are rare. If connection resets and
+// lost responses counted as crashes, healthy requests would become suspects.
 void
-manager::on_cut(const backends::incarnation& of,
-                const std::string& address,
-                const fingerprint& f)
+manager::on_connection_lost(const backends::incarnation& of,
+                            const std::string& address,
+                            const fingerprint& f)
 {
-  ++counts_.cuts;
+  ++counts_.connections_lost;
   const auto key = key_of(of);
   const auto found = unconfirmed_.find(key);
   if (found != unconfirmed_.end()) {
-    add_once(found->second.ran, f);
+    add_unique(found->second.running, f);
     return;
   }
-  if (unconfirmed_.size() >= most_unconfirmed) {
+  if (unconfirmed_.size() >= max_unconfirmed) {
     process::log_line(timeline::event{ "cut_not_looked_at" }
                         .with("backend", of.id)
                         .with("work", f)
@@ -170,7 +170,7 @@
     return;
   }
   unconfirmed_[key] = { of, { f } };
-  http::probe(io_, address, probe_ms, [this, key](http::probe_end end) {
+  http::probe(io_, address, probe_timeout_ms, [this, key](http::probe_end end) {
     on_probed(key, end == http::probe_end::refused);
   });
 }
@@ -179,151 +179,155 @@
 manager::is_probing(const fingerprint& f) const
 {
   return std::any_of(
-    unconfirmed_.begin(), unconfirmed_.end(), [&](const auto& d) {
-      const auto& ran = d.second.ran;
-      return std::find(ran.begin(), ran.end(), f) != ran.end();
+    unconfirmed_.begin(), unconfirmed_.end(), [&](const auto& suspect) {
+      const auto& running = suspect.second.running;
+      return std::find(running.begin(), running.end(), f) != running.end();
     });
 }
 
 void
-manager::on_probed(const std::string& key, bool has_ended)
+manager::on_probed(const std::string& key, bool has_crashed)
 {
-  auto d = std::move(unconfirmed_.at(key));
+  auto suspect = std::move(unconfirmed_.at(key));
   unconfirmed_.erase(key);
-  process::log_line(timeline::event{ has_ended ? "backend_ended" : "cut_only" }
-                      .with("backend", d.of.id)
-                      .with("started_ms", d.of.started_ms)
-                      .with("works", listed(d.ran))
-                      .with("count", d.ran.size()));
-  if (!has_ended) {
+  process::log_line(
+    timeline::event{ has_crashed ? "backend_ended" : "cut_only" }
+      .with("backend", suspect.of.id)
+      .with("started_ms", suspect.of.started_ms)
+      .with("works", join_first(suspect.running))
+      .with("count", suspect.running.size()));
+  if (!has_crashed) {
     return;
   }
-  ++counts_.ends;
-  note_end(d.of, d.ran);
-  look_beside(d.of);
+  ++counts_.crashes;
+  record_crash(suspect.of, suspect.running);
+  probe_peers(suspect.of);
 }
 
 void
-manager::note_end(const backends::incarnation& of,
-                  const std::vector<fingerprint>& ran)
+manager::record_crash(const backends::incarnation& of,
+                      const std::vector<fingerprint>& running)
 {
-  auto& r = reopen_report();
+  auto& r = touch_open_report();
   const auto known =
-    std::find_if(r.ended.begin(), r.ended.end(), [&](const auto& l) {
-      return l.backend == of.id && l.started_ms == of.started_ms;
+    std::find_if(r.crashes.begin(), r.crashes.end(), [&](const auto& c) {
+      return c.backend == of.id && c.started_ms == of.started_ms;
     });
-  if (known != r.ended.end()) {
-    for (const auto& f : ran) {
-      add_once(known->ran, f);
+  if (known != r.crashes.end()) {
+    for (const auto& f : running) {
+      add_unique(known->running, f);
     }
-  } else if (r.ended.size() < most_lives) {
-    r.ended.push_back({ of.id, of.started_ms, ran, timeline::wall_ms() });
+  } else if (r.crashes.size() < max_crashes) {
+    r.crashes.push_back({ of.id, of.started_ms, running, timeline::wall_ms() });
   } else {
-    // More lives than one request ends in a fifth of a second.
+    // More crashes than one request can cause within a report interval.
     process::log_line(timeline::event{ "end_not_reported" }
                         .with("backend", of.id)
-                        .with("report", open_.name));
+                        .with("report", open_report_.name));
   }
-  keep_open_report();
+  update_open_report();
 }
 
 bool
-manager::is_known_to_have_ended(const backends::incarnation& of) const
+manager::is_known_crash(const backends::incarnation& of) const
 {
   return std::any_of(
     evidence_.reports.begin(), evidence_.reports.end(), [&](const auto& e) {
-      const auto& ended = e.second.ended;
-      return std::any_of(ended.begin(), ended.end(), [&](const auto& l) {
-        return l.backend == of.id && l.started_ms == of.started_ms;
+      const auto& crashes = e.second.crashes;
+      return std::any_of(crashes.begin(), crashes.end(), [&](const auto& c) {
+        return c.backend == of.id && c.started_ms == of.started_ms;
       });
     });
 }
 
-// A server that goes down with others goes down for a cause that no request
-// brought: one of them that was idle tells. Those that run something are
-// reported with it, by this instance or another.
+// If an idle server crashes together with others, no request is the cause.
+// Probes a few other servers of the service to find one. Crashed servers that
+// were running requests are reported by the instances that sent them.
 void
-manager::look_beside(const backends::incarnation& ended)
+manager::probe_peers(const backends::incarnation& crashed)
 {
-  const auto known = registry_.all.find(ended.id);
+  const auto known = registry_.all.find(crashed.id);
   if (known == registry_.all.end()) {
     return;
   }
   std::vector<const backends::backend*> peers;
   for (const auto& [id, b] : registry_.all) {
-    if (b.info.service == known->second.info.service && id != ended.id &&
+    if (b.info.service == known->second.info.service && id != crashed.id &&
         !b.info.leaving) {
       peers.push_back(&b);
     }
   }
   std::shuffle(peers.begin(), peers.end(), random_);
-  std::size_t looked_at = 0;
+  std::size_t probed = 0;
   for (const auto* b : peers) {
     const auto of = backends::incarnation_of(*b);
-    if (unconfirmed_.contains(key_of(of)) || is_known_to_have_ended(of)) {
+    if (unconfirmed_.contains(key_of(of)) || is_known_crash(of)) {
       continue;
     }
-    look_at(of, b->info.address);
-    if (++looked_at == looked_at_beside) {
+    probe_peer(of, b->info.address);
+    if (++probed == max_peer_probes) {
       return;
     }
   }
 }
 
 void
-manager::look_at(const backends::incarnation& of, const std::string& address)
+manager::probe_peer(const backends::incarnation& of, const std::string& address)
 {
-  http::probe(io_, address, probe_ms, [this, of](http::probe_end end) {
-    if (end == http::probe_end::refused && !is_known_to_have_ended(of)) {
+  http::probe(io_, address, probe_timeout_ms, [this, of](http::probe_end end) {
+    if (end == http::probe_end::refused && !is_known_crash(of)) {
       process::log_line(timeline::event{ "backend_ended_idle" }
                           .with("backend", of.id)
                           .with("started_ms", of.started_ms));
-      note_end(of, {});
+      record_crash(of, {});
     }
   });
 }
 
-// One answer shows that the request does not end all that run it. Told to all:
-// the ends that it meets at other entries would add up otherwise.
+// A response shows that the request does not crash every server that runs it.
+// It is reported to all instances, because otherwise unrelated crashes that the
+// request meets at other entries would add up.
 void
 manager::on_answered(const fingerprint& f)
 {
-  const auto v = judge(f, run_kind::call);
+  const auto v = evaluate(f, run_kind::call);
   if (!has_crashes(v)) {
     return;
   }
   process::log_line(
-    timeline::event{ "work_cleared" }.with("work", f).with("ends", v.ends));
-  add_once(reopen_report().answered, f);
-  keep_open_report();
+    timeline::event{ "work_cleared" }.with("work", f).with("ends", v.crashes));
+  add_unique(touch_open_report().answered, f);
+  update_open_report();
 }
 
-// Its time is that of what was added last.
+// Opens a report if none is open. Its timestamp is that of the last addition.
 report&
-manager::reopen_report()
+manager::touch_open_report()
 {
   const auto now = timeline::wall_ms();
-  if (open_.name.empty()) {
-    open_ = { name_of_report(settings_.instance, now),
-              { settings_.instance, now, {}, {} },
-              false };
+  if (open_report_.name.empty()) {
+    open_report_ = { report_name(settings_.instance, now),
+                     { settings_.instance, now, {}, {} },
+                     false };
   }
-  open_.value.at_ms = now;
-  return open_.value;
+  open_report_.value.at_ms = now;
+  return open_report_.value;
 }
 
-// Counts here at once, and for the others when it is written.
+// Applies the open report locally at once and schedules writing it for the
+// other instances.
 void
-manager::keep_open_report()
+manager::update_open_report()
 {
-  take(evidence_, open_.name, open_.value);
-  log_standings();
+  add_report(evidence_, open_report_.name, open_report_.value);
+  log_status_changes();
   if (is_flush_due_) {
     return;
   }
   is_flush_due_ = true;
   const auto now = http::now_ms();
-  const auto due = std::max(now + gather_ms, last_flush_ms_ + report_pause_ms);
+  const auto due =
+    std::max(now + gather_delay_ms, last_flush_ms_ + report_interval_ms);
   flusher_.expires_after(std::chrono::milliseconds{ due - now });
   flusher_.async_wait([this](asio::error_code ec) {
     if (!ec) {
@@ -337,52 +341,55 @@
 {
   is_flush_due_ = false;
   last_flush_ms_ = http::now_ms();
-  auto u = std::make_shared<unsaved>(std::exchange(open_, {}));
-  if (waiting_.size() >= most_waiting) {
+  auto pending =
+    std::make_shared<pending_report>(std::exchange(open_report_, {}));
+  if (pending_.size() >= max_pending_reports) {
     ++counts_.reports_dropped;
     process::log_line(timeline::event{ "report_dropped" }
-                        .with("report", waiting_.front()->name)
-                        .with("waiting", waiting_.size()));
-    waiting_.pop_front();
+                        .with("report", pending_.front()->name)
+                        .with("waiting", pending_.size()));
+    pending_.pop_front();
   }
-  waiting_.push_back(u);
-  write(u);
+  pending_.push_back(pending);
+  write(pending);
 }
 
 void
-manager::write(const std::shared_ptr<unsaved>& u)
+manager::write(const std::shared_ptr<pending_report>& pending)
 {
   store::call c;
   c.op = store::operation::create;
   c.kind = report_kind;
-  c.name = u->name;
-  c.body = encode(u->value);
-  store_.perform(c, [this, u](store::reply&& r) {
-    const bool still_wanted =
-      std::find(waiting_.begin(), waiting_.end(), u) != waiting_.end();
-    // After a try without an answer a conflict is with our own write. Otherwise
-    // the name is that of an earlier process, whose clock was ahead.
-    u->may_stand =
-      u->may_stand || r.after_unknown || r.what == store::verdict::unknown;
-    const bool written = r.what == store::verdict::done ||
-                         (r.what == store::verdict::conflict && u->may_stand);
-    if (r.what == store::verdict::conflict && !written) {
-      rename(*u);
+  c.name = pending->name;
+  c.body = encode(pending->value);
+  store_.perform(c, [this, pending](store::reply&& r) {
+    const bool is_still_pending =
+      std::find(pending_.begin(), pending_.end(), pending) != pending_.end();
+    // After an attempt without a response, a conflict is with this instance's
+    // own write. Otherwise the name was used by an earlier process of this
+    // instance whose clock was ahead.
+    pending->may_exist = pending->may_exist || r.after_unknown ||
+                         r.what == store::verdict::unknown;
+    const bool is_written =
+      r.what == store::verdict::done ||
+      (r.what == store::verdict::conflict && pending->may_exist);
+    if (r.what == store::verdict::conflict && !is_written) {
+      rename(*pending);
     }
     process::log_line(timeline::event{ "report_written" }
-                        .with("report", u->name)
+                        .with("report", pending->name)
                         .with("verdict", store::name_of(r.what))
-                        .with("ended", u->value.ended.size())
-                        .with("answered", u->value.answered.size()));
-    if (written) {
+                        .with("ended", pending->value.crashes.size())
+                        .with("answered", pending->value.answered.size()));
+    if (is_written) {
       ++counts_.reports_written;
-      std::erase(waiting_, u);
-    } else if (still_wanted) {
+      std::erase(pending_, pending);
+    } else if (is_still_pending) {
       auto t = std::make_shared<asio::steady_timer>(
-        io_, std::chrono::milliseconds{ rewrite_pause_ms });
-      t->async_wait([this, t, u](asio::error_code ec) {
+        io_, std::chrono::milliseconds{ retry_interval_ms });
+      t->async_wait([this, t, pending](asio::error_code ec) {
         if (!ec) {
-          write(u);
+          write(pending);
         }
       });
     }
@@ -390,15 +397,16 @@
 }
 
 void
-manager::rename(unsaved& u)
+manager::rename(pending_report& pending)
 {
-  drop(evidence_, u.name);
-  ++u.value.at_ms;
-  u.name = name_of_report(settings_.instance, u.value.at_ms);
-  take(evidence_, u.name, u.value);
+  remove_report(evidence_, pending.name);
+  ++pending.value.at_ms;
+  pending.name = report_name(settings_.instance, pending.value.at_ms);
+  add_report(evidence_, pending.name, pending.value);
 }
 
-// What is not written yet stands beside what the store has.
+// Replaces the evidence with the listed reports, plus local reports that are
+// not written yet.
 void
 manager::on_list(std::vector<store::object>&& all)
 {
@@ -407,11 +415,11 @@
   for (const auto& o : all) {
     take_object(o);
   }
-  for (const auto& u : waiting_) {
-    take(evidence_, u->name, u->value);
+  for (const auto& pending : pending_) {
+    add_report(evidence_, pending->name, pending->value);
   }
-  if (!open_.name.empty()) {
-    take(evidence_, open_.name, open_.value);
+  if (!open_report_.name.empty()) {
+    add_report(evidence_, open_report_.name, open_report_.value);
   }
 }
 
@@ -420,30 +428,31 @@
 {
   auto r = report_from(o.spec);
   if (r) {
-    take(evidence_, o.name, std::move(*r));
+    add_report(evidence_, o.name, std::move(*r));
   } else {
-    drop(evidence_, o.name);
+    remove_report(evidence_, o.name);
     store::log_unreadable(report_kind, { o.name, r.fault });
   }
 }
 
-// Reports that count no more are removed by who wrote them, and by the relays
-// if that instance is gone: the store would keep them for ever.
+// The store keeps reports forever, so expired ones are removed by the instance
+// that wrote them, or by the relays if that instance no longer exists.
 void
 manager::tick()
 {
-  for (const auto& name : expire(evidence_, timeline::wall_ms())) {
-    const bool mine = is_reported_by(name, settings_.instance);
-    if (mine || settings_.removes_for_others) {
+  for (const auto& name : expire_reports(evidence_, timeline::wall_ms())) {
+    const bool is_mine = is_reported_by(name, settings_.instance);
+    if (is_mine || settings_.removes_for_others) {
       to_remove_.push_back(name);
     }
   }
-  for (std::size_t i = 0; i < removals_at_once && !to_remove_.empty(); ++i) {
+  for (std::size_t i = 0; i < max_removals_per_tick && !to_remove_.empty();
+       ++i) {
     remove(to_remove_.front());
     to_remove_.pop_front();
   }
-  log_standings();
-  ticker_.expires_after(std::chrono::milliseconds{ tick_ms });
+  log_status_changes();
+  ticker_.expires_after(std::chrono::milliseconds{ tick_interval_ms });
   ticker_.async_wait([this](asio::error_code ec) {
     if (!ec) {
       tick();
@@ -451,7 +460,7 @@
   });
 }
 
-// One that fails is found again when the kind is listed.
+// A report whose removal fails is found again when the reports are next listed.
 void
 manager::remove(const std::string& name)
 {
@@ -466,32 +475,32 @@
   });
 }
 
-// One line when a request begins to be kept out, and one when it may be tried
-// again, with what it rests on.
+// Logs when a request becomes quarantined and when it may be tried again, with
+// the evidence.
 void
-manager::log_standings()
+manager::log_status_changes()
 {
   const auto now = timeline::wall_ms();
-  auto refused = refused_calls(evidence_, now);
+  auto refused = quarantined_calls(evidence_, now);
   for (const auto& [work, v] : refused) {
-    if (!kept_out_.contains(work)) {
+    if (!logged_quarantined_.contains(work)) {
       process::log_line(timeline::event{ "work_quarantined" }
                           .with("work", work)
-                          .with("ends", v.ends)
+                          .with("ends", v.crashes)
                           .with("until_ms", v.until_ms)
                           .with("reports", evidence_.reports.size())
                           .with("store_revision", watcher_.as_of()));
     }
   }
-  for (const auto& [work, v] : kept_out_) {
+  for (const auto& [work, v] : logged_quarantined_) {
     if (!refused.contains(work)) {
       process::log_line(timeline::event{ "work_allowed" }
                           .with("work", work)
-                          .with("ends", v.ends)
+                          .with("ends", v.crashes)
                           .with("until_ms", v.until_ms));
     }
   }
-  kept_out_ = std::move(refused);
+  logged_quarantined_ = std::move(refused);
 }
 
 } // namespace cactusford::quarantine
--- a/cactusford/quarantine/manager.h
+++ b/cactusford/quarantine/manager.h
@@ -1,6 +1,6 @@
-// Finds out which requests end backend servers, together with all other
-// instances, and says which may be sent. Evidence stands in the store: it
-// outlives the instances that found it, and reaches all of them.
+// Detects poison requests, which crash the backend servers that run them, and
+// decides whether a request may be sent. All instances share the evidence
+// through the store, so that it reaches each of them and survives restarts.
 #pragma once
 
 #include "cactusford/backends/registry.h"
@@ -24,19 +24,19 @@
 struct manager_settings
 {
   std::string instance;
-  // Removes what reporters have left behind that are gone.
+  // Also removes expired reports of instances that no longer exist.
   bool removes_for_others = false;
   evidence_limits limits = {};
 };
 
 struct manager_counts
 {
-  // Connections that were cut while a request ran.
-  std::uint64_t cuts = 0;
-  // Lives found to have ended under a request.
-  std::uint64_t ends = 0;
+  // Connections lost while a request ran.
+  std::uint64_t connections_lost = 0;
+  // Servers found crashed after a lost connection.
+  std::uint64_t crashes = 0;
   std::uint64_t reports_written = 0;
-  // Reports that were given up, as too many waited for the store.
+  // Reports dropped because too many were waiting for the store.
   std::uint64_t reports_dropped = 0;
   // Requests that were not sent.
   std::uint64_t refusals = 0;
@@ -55,69 +55,71 @@
 
   void start();
 
-  // What others have reported is known.
+  // Returns true if the reports of other instances are up to date.
   bool is_current() const { return watcher_.is_current(); }
 
-  // The store may have changed unseen.
+  // Rereads the reports, for when the store may have changed unnoticed.
   void refresh() { watcher_.refresh(); }
 
-  // May it be sent? Asked before each attempt.
-  verdict judge(const fingerprint& f, run_kind kind);
+  // Decides whether the request may be sent. Called before each attempt.
+  decision evaluate(const fingerprint& f, run_kind kind);
 
-  // For a request on trial: whether this instance is the one that may try it.
-  // Later in any case.
+  // For a request on trial: calls `done` with true if this instance may run the
+  // trial. The call is always asynchronous.
   void claim_trial(const fingerprint& f, std::function<void(bool)> done);
 
-  // A request was not sent.
+  // Records that a request was not sent.
   void note_refused() { ++counts_.refusals; }
 
-  // The connection of a run ended without a whole answer. The backend server
-  // is looked at: an end of its process counts, a reset or a lost answer not.
-  void on_cut(const backends::incarnation& of,
-              const std::string& address,
-              const fingerprint& f);
+  // Handles a connection that ended without a complete response. Probes the
+  // backend server, because a crash of its process counts against the request
+  // and a connection reset or lost response does not.
+  void on_connection_lost(const backends::incarnation& of,
+                          const std::string& address,
+                          const fingerprint& f);
 
-  // A run of it was cut, and it is not known yet whether its server has ended.
+  // Returns true if a connection that ran the request was lost and it is not
+  // yet known whether the server has crashed.
   bool is_probing(const fingerprint& f) const;
 
-  // A backend server ran it and answered.
+  // Records that a backend server ran the request and answered.
   void on_answered(const fingerprint& f);
 
   const manager_counts& counts() const { return counts_; }
   std::size_t reports() const { return evidence_.reports.size(); }
 
 private:
-  // A life that may have ended, and what ran there.
-  struct unconfirmed_end
+  // A suspected crash that is being probed, and the requests that ran there.
+  struct unconfirmed_crash
   {
     backends::incarnation of;
-    std::vector<fingerprint> ran;
+    std::vector<fingerprint> running;
   };
 
-  struct unsaved
+  struct pending_report
   {
     std::string name;
     report value;
-    // Some try had no answer: the object may be ours.
-    bool may_stand = false;
+    // A write attempt had no response, so the object may already exist.
+    bool may_exist = false;
   };
 
-  void on_probed(const std::string& key, bool has_ended);
-  void look_beside(const backends::incarnation& ended);
-  void look_at(const backends::incarnation& of, const std::string& address);
-  void note_end(const backends::incarnation& of,
-                const std::vector<fingerprint>& ran);
-  bool is_known_to_have_ended(const backends::incarnation& of) const;
-  report& reopen_report();
-  void keep_open_report();
+  void on_probed(const std::string& key, bool has_crashed);
+  void probe_peers(const backends::incarnation& crashed);
+  void probe_peer(const backends::incarnation& of, const std::string& address);
+  void record_crash(const backends::incarnation& of,
+                    const std::vector<fingerprint>& running);
+  bool is_known_crash(const backends::incarnation& of) const;
+  report& touch_open_report();
+  void update_open_report();
   void flush();
-  void write(const std::shared_ptr<unsaved>& u);
-  void rename(unsaved& u);
+  void write(const std::shared_ptr<pending_report>& pending);
+  void rename(pending_report& pending);
   void on_list(std::vector<store::object>&& all);
   void take_object(const store::object& o);
   void tick();
   void remove(const std::string& name);
-  void log_standings();
+  void log_status_changes();
 
   asio::io_context& io_;
   store::client& store_;
@@ -127,17 +129,18 @@
   asio::steady_timer ticker_;
   asio::steady_timer flusher_;
   evidence evidence_;
-  std::map<std::string, unconfirmed_end> unconfirmed_;
-  // The report that gathers what is seen now; empty name: none.
-  unsaved open_;
-  // Written and not acknowledged.
-  std::deque<std::shared_ptr<unsaved>> waiting_;
-  // Reports that count no more and still stand in the store.
+  std::map<std::string, unconfirmed_crash> unconfirmed_;
+  // The report that collects current observations; the name is empty if none is
+  // open.
+  pending_report open_report_;
+  // Reports whose write the store has not acknowledged.
+  std::deque<std::shared_ptr<pending_report>> pending_;
+  // Expired reports that still exist in the store.
   std::deque<std::string> to_remove_;
   std::uint64_t last_flush_ms_ = 0;
   bool is_flush_due_ = false;
-  // Calls that are kept out, as far as logged.
-  std::map<fingerprint, verdict> kept_out_;
+  // Quarantined calls, as last logged.
+  std::map<fingerprint, decision> logged_quarantined_;
   manager_counts counts_;
   std::mt19937_64 random_{ std::random_device{}() };
 };
--- a/cactusford/quarantine/report-test.cc
+++ b/cactusford/quarantine/report-test.cc
@@ -19,16 +19,16 @@
 
 } // namespace
 
-Test(quarantine, a_report_comes_back_as_it_was)
+Test(quarantine, a_report_round_trips)
 {
   const auto r = report_from(encode(sample()));
   cr_assert(r.has_value());
   cr_assert(*r == sample());
 }
 
-// Anybody may write to the store. A report that can't be read counts for
-// nothing; a huge one must not fill the memory of every entry.
-Test(quarantine, a_report_of_another_shape_counts_for_nothing)
+// Any client may write to the store. Malformed reports are rejected, and so are
+// huge ones, which would fill the memory of every entry.
+Test(quarantine, malformed_reports_are_rejected)
 {
   cr_assert_not(report_from(json::array()).has_value());
   cr_assert_not(report_from("text").has_value());
@@ -37,7 +37,7 @@
     j.erase(key);
     cr_assert_not(report_from(j).has_value(), "without %s", key);
   }
-  SECTION("nor one with a fingerprint that is none")
+  SECTION("a report with an invalid fingerprint is rejected")
   {
     auto j = encode(sample());
     j["answered"] = { std::string(100000, 'a') };
@@ -45,11 +45,11 @@
     j["answered"] = { 3 };
     cr_assert_not(report_from(j).has_value());
   }
-  SECTION("nor one with too much in it")
+  SECTION("a report with too many crashes is rejected")
   {
     auto j = encode(sample());
     j["ended"] = json::array();
-    for (std::size_t i = 0; i <= most_lives; ++i) {
+    for (std::size_t i = 0; i <= max_crashes; ++i) {
       j["ended"].push_back(
         { { "backend", "b" }, { "started_ms", i }, { "ran", json::array() } });
     }
@@ -57,8 +57,8 @@
   }
 }
 
-Test(quarantine, names_tell_whose_report_it_is)
+Test(quarantine, report_names_identify_the_reporter)
 {
-  cr_assert(is_reported_by(name_of_report("entry-1", 5), "entry-1"));
-  cr_assert_not(is_reported_by(name_of_report("entry-12", 5), "entry-1"));
+  cr_assert(is_reported_by(report_name("entry-1", 5), "entry-1"));
+  cr_assert_not(is_reported_by(report_name("entry-12", 5), "entry-1"));
 }
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -6,40 +6,41 @@
 
 using nlohmann::json;
 
-// Longer than any id of a backend server: other writers' texts are not kept.
-constexpr std::size_t longest_id = 256;
+// Longer than any id of a backend server. Longer texts come from other writers
+// and are rejected.
+constexpr std::size_t max_id_size = 256;
 
 void
 check_fingerprint(const fingerprint& f)
 {
   if (f.size() != fingerprint_digits) {
-    throw store::field_error{ { "work", "no fingerprint" } };
+    throw store::field_error{ { "work", "not a fingerprint" } };
   }
 }
 
 std::vector<fingerprint>
-works_from(const json& list)
+fingerprints_from(const json& list)
 {
-  if (list.size() > most_works) {
-    throw store::field_error{ { "ran", "too many" } };
+  if (list.size() > max_fingerprints) {
+    throw store::field_error{ { "ran", "too many entries" } };
   }
-  auto works = list.get<std::vector<fingerprint>>();
-  for (const auto& w : works) {
-    check_fingerprint(w);
+  auto fingerprints = list.get<std::vector<fingerprint>>();
+  for (const auto& f : fingerprints) {
+    check_fingerprint(f);
   }
-  return works;
+  return fingerprints;
 }
 
-ended_life
-life_from(const json& j)
+crash
+crash_from(const json& j)
 {
   const auto& backend = store::text_field(j, "backend");
-  if (backend.size() > longest_id) {
+  if (backend.size() > max_id_size) {
     throw store::field_error{ { "backend", "too long" } };
   }
   return { backend,
            store::whole_field(j, "started_ms"),
-           works_from(store::list_field(j, "ran")),
+           fingerprints_from(store::list_field(j, "ran")),
            store::whole_field_or(j, "at_ms", 0) };
 }
 
@@ -48,16 +49,16 @@
 json
 encode(const report& r)
 {
-  json ended = json::array();
-  for (const auto& l : r.ended) {
-    ended.push_back({ { "backend", l.backend },
-                      { "started_ms", l.started_ms },
-                      { "ran", l.ran },
-                      { "at_ms", l.at_ms } });
+  json crashes = json::array();
+  for (const auto& c : r.crashes) {
+    crashes.push_back({ { "backend", c.backend },
+                        { "started_ms", c.started_ms },
+                        { "ran", c.running },
+                        { "at_ms", c.at_ms } });
   }
   return { { "by", r.reporter },
            { "at_ms", r.at_ms },
-           { "ended", ended },
+           { "ended", crashes },
            { "answered", r.answered },
            { "trial", r.trial } };
 }
@@ -69,30 +70,30 @@
     report r;
     r.reporter = store::text_field(spec, "by");
     r.at_ms = store::whole_field(spec, "at_ms");
-    r.answered = works_from(store::list_field(spec, "answered"));
+    r.answered = fingerprints_from(store::list_field(spec, "answered"));
     r.trial = store::text_field(spec, "trial");
     if (!r.trial.empty()) {
       check_fingerprint(r.trial);
     }
-    const auto& ended = store::list_field(spec, "ended");
-    if (ended.size() > most_lives) {
-      throw store::field_error{ { "ended", "too many" } };
+    const auto& crashes = store::list_field(spec, "ended");
+    if (crashes.size() > max_crashes) {
+      throw store::field_error{ { "ended", "too many entries" } };
     }
-    for (const auto& l : ended) {
-      r.ended.push_back(life_from(l));
+    for (const auto& c : crashes) {
+      r.crashes.push_back(crash_from(c));
     }
     return r;
   });
 }
 
 std::string
-name_of_trial(const fingerprint& f, std::uint64_t slot)
+trial_name(const fingerprint& f, std::uint64_t slot)
 {
   return "trial." + f + "." + std::to_string(slot);
 }
 
 std::string
-name_of_report(const std::string& instance, std::uint64_t at_ms)
+report_name(const std::string& instance, std::uint64_t at_ms)
 {
   return instance + "." + std::to_string(at_ms);
 }
--- a/cactusford/quarantine/report.h
+++ b/cactusford/quarantine/report.h
@@ -1,6 +1,6 @@
-// Reports as objects of the store. Each is written once, under a name of its
-// own: instances that report at the same time never meet in a conditional
-// write, and a write that is carried out late changes nothing else.
+// Crash reports as store objects. Each report is written once under a unique
+// name, so that concurrent reports from several instances never conflict and a
+// delayed write cannot overwrite another object.
 #pragma once
 
 #include "cactusford/quarantine/evidence.h"
@@ -12,9 +12,10 @@
 
 constexpr std::string_view report_kind = "ended-backends";
 
-// What one report may hold: a larger one is another writer's mistake.
-constexpr std::size_t most_lives = 64;
-constexpr std::size_t most_works = 64;
+// Maximum sizes of a report. A larger one is the mistake of another writer and
+// is rejected.
+constexpr std::size_t max_crashes = 64;
+constexpr std::size_t max_fingerprints = 64;
 
 nlohmann::json
 encode(const report& r);
@@ -22,14 +23,14 @@
 store::decoded<report>
 report_from(const nlohmann::json& spec);
 
-// Unique among all instances and times; sorts by instance.
+// A name that is unique for the instance and time; names sort by instance.
 std::string
-name_of_report(const std::string& instance, std::uint64_t at_ms);
+report_name(const std::string& instance, std::uint64_t at_ms);
 
-// The same at all instances that would try this request in this span of time:
-// the store lets one of them create it.
+// All instances that want to try this request in the same time slot get the
+// same name, so that the store lets only one of them create the object.
 std::string
-name_of_trial(const fingerprint& f, std::uint64_t slot);
+trial_name(const fingerprint& f, std::uint64_t slot);
 
 bool
 is_reported_by(const std::string& name, const std::string& instance);
--- a/cactusford/quarantine/scenarios-test.cc
+++ b/cactusford/quarantine/scenarios-test.cc
@@ -41,7 +41,7 @@
   // Runs of a poisonous request later than the contact time after its third
   // end: the most of any.
   std::size_t late_runs = 0;
-  std::size_t ends = 0;
+  std::size_t crashes = 0;
   // Other requests that were refused though a server was up.
   std::size_t others_refused = 0;
   std::size_t others_served = 0;
@@ -50,14 +50,14 @@
 struct server
 {
   std::uint64_t up_at_ms = 0;
-  std::uint64_t life = 1;
+  std::uint64_t incarnation = 1;
 };
 
 struct run
 {
   fingerprint work;
   std::size_t server = 0;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   std::uint64_t ends_at_ms = 0;
   std::uint64_t hedge_at_ms = 0;
   std::uint32_t runs_left = 0;
@@ -98,7 +98,7 @@
 private:
   struct poisonous_state
   {
-    std::size_t ends = 0;
+    std::size_t crashes = 0;
     std::uint64_t third_end_ms = 0;
     std::size_t late_runs = 0;
   };
@@ -124,7 +124,7 @@
   {
     std::erase_if(telling_, [&](const told& t) {
       if (t.at_ms <= now_) {
-        take(known_, "r" + std::to_string(next_report_++), t.value);
+        add_report(known_, "r" + std::to_string(next_report_++), t.value);
       }
       return t.at_ms <= now_;
     });
@@ -164,7 +164,7 @@
   // Those that wait for the run of the same work at their entry.
   void send_waiting()
   {
-    const auto all = std::exchange(waiting_, {});
+    const auto all = std::exchange(pending_, {});
     for (const auto& r : all) {
       send(r);
     }
@@ -179,10 +179,10 @@
 
   void send(run r)
   {
-    const auto v = judge(known_, r.work, run_kind::call, now_);
+    const auto v = evaluate(known_, r.work, run_kind::call, now_);
     const bool is_suspect = has_crashes(v);
     if (is_suspect && runs_at_entry(r)) {
-      waiting_.push_back(r);
+      pending_.push_back(r);
       return;
     }
     // One that arrives as a suspect is not tried again after an end.
@@ -198,15 +198,15 @@
       return;
     }
     const bool kept_out =
-      v.what == request_status::quarantined ||
-      (v.what == request_status::on_trial && !claim(r.work));
+      v.status == request_status::quarantined ||
+      (v.status == request_status::on_trial && !claim(r.work));
     if (kept_out) {
       outcome_.others_refused += r.is_poisonous ? 0 : 1;
       return;
     }
     const auto at = up[between(0, up.size() - 1)];
     r.server = at + 1;
-    r.life = servers_[at].life;
+    r.incarnation = servers_[at].incarnation;
     r.ends_at_ms = now_ + (r.is_poisonous ? between(50, 120) : between(20, 70));
     constexpr std::uint64_t hedge_ms = 60;
     const bool hedged = !is_suspect && r.runs_left > 1;
@@ -215,7 +215,7 @@
     runs_.push_back(r);
     if (r.is_poisonous) {
       auto& g = poisonous_.at(static_cast<std::size_t>(r.work.back() - '0'));
-      const bool late = g.ends >= 3 && now_ > g.third_end_ms + contact_ms;
+      const bool late = g.crashes >= 3 && now_ > g.third_end_ms + contact_ms;
       g.late_runs += late ? 1 : 0;
       outcome_.late_runs = std::max(outcome_.late_runs, g.late_runs);
     }
@@ -224,7 +224,7 @@
   bool claim(const fingerprint& work)
   {
     report r{ "entry", now_, {}, {}, work };
-    take(known_, "trial" + std::to_string(next_report_++), r);
+    add_report(known_, "trial" + std::to_string(next_report_++), r);
     return true;
   }
 
@@ -235,19 +235,22 @@
     report r{
       "entry-" + std::to_string(between(0, entries - 1)), now_, {}, {}
     };
-    r.ended.push_back(
-      { "s" + std::to_string(at) + "." + std::to_string(s.life), 1, {} });
+    r.crashes.push_back(
+      { "s" + std::to_string(at) + "." + std::to_string(s.incarnation),
+        1,
+        {} });
     std::vector<run> cut;
     std::erase_if(runs_, [&](const run& each) {
-      const bool here = each.server == at + 1 && each.life == s.life;
+      const bool here =
+        each.server == at + 1 && each.incarnation == s.incarnation;
       if (here) {
-        r.ended[0].ran.push_back(each.work);
+        r.crashes[0].running.push_back(each.work);
         cut.push_back(each);
       }
       return here;
     });
     s.up_at_ms = now_ + o_.down_ms + between(0, o_.down_ms / 2);
-    ++s.life;
+    ++s.incarnation;
     if (!cut.empty() || is_seen) {
       tell(r);
     }
@@ -282,15 +285,15 @@
   {
     const auto all = runs_;
     for (const auto& r : all) {
-      const bool alive = servers_[r.server - 1].life == r.life;
+      const bool alive = servers_[r.server - 1].incarnation == r.incarnation;
       if (!alive) {
         continue;
       }
       if (r.ends_at_ms <= now_ && r.is_poisonous) {
         auto& g = poisonous_.at(static_cast<std::size_t>(r.work.back() - '0'));
-        ++g.ends;
-        ++outcome_.ends;
-        g.third_end_ms = g.ends == 3 ? now_ : g.third_end_ms;
+        ++g.crashes;
+        ++outcome_.crashes;
+        g.third_end_ms = g.crashes == 3 ? now_ : g.third_end_ms;
         end_server(r.server - 1);
       } else if (r.ends_at_ms <= now_) {
         ++outcome_.others_served;
@@ -303,12 +306,12 @@
 
   void answer(const run& r)
   {
-    const auto v = judge(known_, r.work, run_kind::call, now_);
+    const auto v = evaluate(known_, r.work, run_kind::call, now_);
     if (has_crashes(v)) {
       tell({ "entry", now_, {}, { r.work } });
     }
     std::erase_if(runs_, [&](const run& each) {
-      return each.server == r.server && each.life == r.life &&
+      return each.server == r.server && each.incarnation == r.incarnation &&
              each.work == r.work;
     });
   }
@@ -316,7 +319,7 @@
   void hedge(const run& r)
   {
     for (auto& each : runs_) {
-      if (each.server == r.server && each.life == r.life &&
+      if (each.server == r.server && each.incarnation == r.incarnation &&
           each.work == r.work) {
         each.hedge_at_ms = 0;
         each.runs_left = 0;
@@ -332,7 +335,7 @@
   std::vector<server> servers_;
   std::vector<poisonous_state> poisonous_;
   std::vector<run> runs_;
-  std::vector<run> waiting_;
+  std::vector<run> pending_;
   std::vector<told> telling_;
   evidence known_;
   std::uint64_t next_report_ = 0;
@@ -357,7 +360,7 @@
     constexpr std::size_t allowed = 3;
     s.most_late = std::max(s.most_late, r.late_runs);
     s.seeds_over += r.late_runs > allowed ? 1 : 0;
-    s.most_ends = std::max(s.most_ends, r.ends);
+    s.most_ends = std::max(s.most_ends, r.crashes);
     s.others_refused += r.others_refused;
     s.others_served += r.others_served;
   }
--- a/cactusford/quarantine/suspicion.cc
+++ b/cactusford/quarantine/suspicion.cc
@@ -9,24 +9,25 @@
 
 namespace {
 
-using life = std::pair<std::string, std::uint64_t>;
+using incarnation = std::pair<std::string, std::uint64_t>;
 
-struct seen_end
+struct observed_crash
 {
   std::uint64_t at_ms = 0;
-  // Together with an idle server.
-  bool is_beside_idle = false;
-  // Who ran it there.
+  // An idle server crashed at about the same time.
+  bool is_with_idle_peer = false;
+  // The instance that sent the request to the server.
   std::string reporter;
 };
 
-// A request and the lives that ended under it.
-using ends_by_work = std::map<fingerprint, std::map<life, seen_end>>;
+// For each request, the incarnations that crashed while they ran it.
+using crashes_by_request =
+  std::map<fingerprint, std::map<incarnation, observed_crash>>;
 
 std::uint64_t
-time_of(const ended_life& l, const report& r)
+time_of(const crash& c, const report& r)
 {
-  return l.at_ms != 0 ? l.at_ms : r.at_ms;
+  return c.at_ms != 0 ? c.at_ms : r.at_ms;
 }
 
 std::map<fingerprint, std::uint64_t>
@@ -42,220 +43,229 @@
   return last;
 }
 
-// When lives ended under which nobody ran anything: no request ended them.
+// Returns the crash times of servers on which no instance ran anything. These
+// crashes were not caused by a request.
 std::set<std::uint64_t>
-times_of_idle_ends(const reports_by_name& reports)
+idle_crash_times(const reports_by_name& reports)
 {
-  std::map<life, std::uint64_t> idle;
+  std::map<incarnation, std::uint64_t> idle;
   for (const auto& [name, r] : reports) {
-    for (const auto& l : r.ended) {
-      idle.emplace(life{ l.backend, l.started_ms }, time_of(l, r));
+    for (const auto& c : r.crashes) {
+      idle.emplace(incarnation{ c.backend, c.started_ms }, time_of(c, r));
     }
   }
   for (const auto& [name, r] : reports) {
-    for (const auto& l : r.ended) {
-      if (!l.ran.empty()) {
-        idle.erase({ l.backend, l.started_ms });
+    for (const auto& c : r.crashes) {
+      if (!c.running.empty()) {
+        idle.erase({ c.backend, c.started_ms });
       }
     }
   }
   std::set<std::uint64_t> times;
-  for (const auto& [l, at] : idle) {
+  for (const auto& [of, at] : idle) {
     times.insert(at);
   }
   return times;
 }
 
 bool
-is_near(const std::set<std::uint64_t>& times,
-        std::uint64_t at_ms,
-        std::uint64_t moment_ms)
+has_time_near(const std::set<std::uint64_t>& times,
+              std::uint64_t at_ms,
+              std::uint64_t window_ms)
 {
-  const auto from = at_ms > moment_ms ? at_ms - moment_ms : 0;
+  const auto from = at_ms > window_ms ? at_ms - window_ms : 0;
   const auto next = times.lower_bound(from);
-  return next != times.end() && *next <= at_ms + moment_ms;
+  return next != times.end() && *next <= at_ms + window_ms;
 }
 
-// A life that several instances report has ended once.
-ends_by_work
-ends_without_answer(const reports_by_name& reports, std::uint64_t moment_ms)
+// Collects the crashes that each request has had since it was last answered. A
+// crash that several instances report counts once.
+crashes_by_request
+crashes_since_answer(const reports_by_name& reports, std::uint64_t window_ms)
 {
   const auto answers = last_answers(reports);
-  const auto idle = times_of_idle_ends(reports);
-  ends_by_work ends;
+  const auto idle = idle_crash_times(reports);
+  crashes_by_request crashes;
   for (const auto& [name, r] : reports) {
-    for (const auto& l : r.ended) {
-      const life ended{ l.backend, l.started_ms };
-      const auto seen_ms = time_of(l, r);
-      const bool beside_idle = is_near(idle, seen_ms, moment_ms);
-      for (const auto& f : l.ran) {
+    for (const auto& c : r.crashes) {
+      const incarnation of{ c.backend, c.started_ms };
+      const auto detected_ms = time_of(c, r);
+      const bool with_idle_peer = has_time_near(idle, detected_ms, window_ms);
+      for (const auto& f : c.running) {
         const auto answered = answers.find(f);
-        if (answered == answers.end() || seen_ms > answered->second) {
-          auto& end = ends[f][ended];
-          end.at_ms = std::max(end.at_ms, seen_ms);
-          end.is_beside_idle = end.is_beside_idle || beside_idle;
-          end.reporter = r.reporter;
+        if (answered == answers.end() || detected_ms > answered->second) {
+          auto& observed = crashes[f][of];
+          observed.at_ms = std::max(observed.at_ms, detected_ms);
+          observed.is_with_idle_peer =
+            observed.is_with_idle_peer || with_idle_peer;
+          observed.reporter = r.reporter;
         }
       }
     }
   }
-  return ends;
+  return crashes;
 }
 
-// A life that ended, and all that instances were running there.
-struct reported_end
+// A crash with everything that all instances were running on the server.
+struct reported_crash
 {
-  life of;
+  incarnation of;
   std::uint64_t at_ms = 0;
-  std::set<fingerprint> ran;
+  std::set<fingerprint> running;
 };
 
-using ends_by_time = std::multimap<std::uint64_t, reported_end>;
+using crashes_by_time = std::multimap<std::uint64_t, reported_crash>;
 
-// All lives that were reported, also of requests that have been answered since.
-ends_by_time
-by_time(const reports_by_name& reports)
+// Returns all reported crashes, including those of requests that have been
+// answered since.
+crashes_by_time
+sort_by_time(const reports_by_name& reports)
 {
-  std::map<life, reported_end> ends;
+  std::map<incarnation, reported_crash> crashes;
   for (const auto& [name, r] : reports) {
-    for (const auto& l : r.ended) {
-      auto& e = ends[{ l.backend, l.started_ms }];
-      e.of = { l.backend, l.started_ms };
-      e.at_ms = std::max(e.at_ms, time_of(l, r));
-      e.ran.insert(l.ran.begin(), l.ran.end());
+    for (const auto& c : r.crashes) {
+      auto& e = crashes[{ c.backend, c.started_ms }];
+      e.of = { c.backend, c.started_ms };
+      e.at_ms = std::max(e.at_ms, time_of(c, r));
+      e.running.insert(c.running.begin(), c.running.end());
     }
   }
-  ends_by_time sorted;
-  for (auto& [l, e] : ends) {
+  crashes_by_time sorted;
+  for (auto& [of, e] : crashes) {
     sorted.emplace(e.at_ms, std::move(e));
   }
   return sorted;
 }
 
-enum class company
+// What ran on the servers that crashed at the same time.
+enum class simultaneous_crashes
 {
-  // Nothing but this request ran where lives ended in that instant.
-  none,
-  // Others ran beside it.
-  beside,
-  // Some life ended without it.
-  apart,
+  // Only the given request ran on them.
+  only_this_request,
+  // The given request ran on all of them, next to others on at least one.
+  with_others,
+  // At least one of them did not run the given request.
+  without_request,
 };
 
-company
-company_of(const ends_by_time& all,
-           const fingerprint& work,
-           std::uint64_t at_ms,
-           std::uint64_t instant_ms)
+simultaneous_crashes
+classify_simultaneous(const crashes_by_time& all,
+                      const fingerprint& request,
+                      std::uint64_t at_ms,
+                      std::uint64_t window_ms)
 {
-  auto found = company::none;
-  const auto from = at_ms > instant_ms ? at_ms - instant_ms : 0;
-  const auto end = all.upper_bound(at_ms + instant_ms);
+  auto found = simultaneous_crashes::only_this_request;
+  const auto from = at_ms > window_ms ? at_ms - window_ms : 0;
+  const auto end = all.upper_bound(at_ms + window_ms);
   for (auto e = all.lower_bound(from); e != end; ++e) {
-    const auto& ran = e->second.ran;
-    if (!ran.contains(work)) {
-      return company::apart;
+    const auto& running = e->second.running;
+    if (!running.contains(request)) {
+      return simultaneous_crashes::without_request;
     }
-    found = ran.size() > 1 ? company::beside : found;
+    found = running.size() > 1 ? simultaneous_crashes::with_others : found;
   }
   return found;
 }
 
-// A rack takes a request, its second attempt and its repeats at other instances
-// down together, and each server of it would count: what ended in one instant
-// counts once. One instance that sent it from server to server has seen an end
-// each time, however fast they came.
-std::set<life>
-separate_ends(const fingerprint& work,
-              const std::map<life, seen_end>& own,
-              const ends_by_time& all,
-              std::uint64_t instant_ms)
+// Returns the crashes that count separately. When a rack fails, it may take
+// down a request, its second attempt and its repeats at other instances on
+// several servers at once, so simultaneous crashes count once. Crashes seen by
+// a single instance that sent the request from server to server each count,
+// however fast they follow each other.
+std::set<incarnation>
+independent_crashes(const fingerprint& request,
+                    const std::map<incarnation, observed_crash>& own,
+                    const crashes_by_time& all,
+                    std::uint64_t window_ms)
 {
-  std::multimap<std::uint64_t, life> sorted;
-  for (const auto& [l, end] : own) {
-    sorted.emplace(end.at_ms, l);
+  std::multimap<std::uint64_t, incarnation> sorted;
+  for (const auto& [of, observed] : own) {
+    sorted.emplace(observed.at_ms, of);
   }
-  std::set<life> separate;
+  std::set<incarnation> independent;
   std::uint64_t last_ms = 0;
   std::string_view last_reporter;
-  for (const auto& [at, l] : sorted) {
-    const auto& reporter = own.at(l).reporter;
+  for (const auto& [at, of] : sorted) {
+    const auto& reporter = own.at(of).reporter;
     const bool is_same_instant =
-      !separate.empty() && at <= last_ms + instant_ms;
-    const auto with = company_of(all, work, at, instant_ms);
-    const bool is_counted =
-      is_same_instant &&
-      (with == company::apart ||
-       (with == company::beside && reporter != last_reporter));
-    if (!is_counted) {
-      separate.insert(l);
+      !independent.empty() && at <= last_ms + window_ms;
+    const auto others = classify_simultaneous(all, request, at, window_ms);
+    const bool is_already_counted =
+      is_same_instant && (others == simultaneous_crashes::without_request ||
+                          (others == simultaneous_crashes::with_others &&
+                           reporter != last_reporter));
+    if (!is_already_counted) {
+      independent.insert(of);
       last_ms = at;
       last_reporter = reporter;
     }
   }
-  return separate;
+  return independent;
 }
 
 struct candidate
 {
-  fingerprint work;
-  const std::map<life, seen_end>* ends = nullptr;
-  // Lives that ended under it: beside no idle server, beside one, and those
-  // that no other request explains.
-  std::size_t beside_none = 0;
-  std::size_t beside_idle = 0;
-  std::set<life> own;
-  bool is_settled = false;
+  fingerprint request;
+  const std::map<incarnation, observed_crash>* crashes = nullptr;
+  // Independent crashes of the request: without and with the simultaneous crash
+  // of an idle server, and those of the former that are not attributed to
+  // another request.
+  std::size_t without_idle_peer = 0;
+  std::size_t with_idle_peer = 0;
+  std::set<incarnation> own;
+  bool is_decided = false;
 };
 
 candidate
-candidate_of(const fingerprint& work,
-             const std::map<life, seen_end>& lives,
-             const ends_by_time& sorted,
+candidate_of(const fingerprint& request,
+             const std::map<incarnation, observed_crash>& crashes,
+             const crashes_by_time& sorted,
              const evidence_limits& limits)
 {
   candidate c;
-  c.work = work;
-  c.ends = &lives;
-  c.own = separate_ends(work, lives, sorted, limits.instant_ms);
-  // When all servers of a service go down again and again, the same healthy
-  // request is there several times, and nothing is answered in between that
-  // would clear it.
-  c.beside_idle = std::erase_if(
-    c.own, [&](const life& l) { return lives.at(l).is_beside_idle; });
-  c.beside_none = c.own.size();
+  c.request = request;
+  c.crashes = &crashes;
+  c.own =
+    independent_crashes(request, crashes, sorted, limits.same_cause_window_ms);
+  // If all servers of a service crash together repeatedly, the same healthy
+  // request may be running each time without a response in between that would
+  // clear it. Such crashes are counted apart.
+  c.with_idle_peer = std::erase_if(c.own, [&](const incarnation& i) {
+    return crashes.at(i).is_with_idle_peer;
+  });
+  c.without_idle_peer = c.own.size();
   return c;
 }
 
 std::size_t
-shared_lives(const candidate& a, const candidate& b)
+shared_crashes(const candidate& a, const candidate& b)
 {
   const auto shared =
-    std::count_if(a.own.begin(), a.own.end(), [&](const life& l) {
-      return b.own.contains(l);
+    std::count_if(a.own.begin(), a.own.end(), [&](const incarnation& i) {
+      return b.own.contains(i);
     });
   return static_cast<std::size_t>(shared);
 }
 
 std::size_t
-most_own(const std::vector<candidate>& all)
+max_own(const std::vector<candidate>& all)
 {
-  std::size_t most = 0;
+  std::size_t max = 0;
   for (const auto& c : all) {
-    most = c.is_settled ? most : std::max(most, c.own.size());
+    max = c.is_decided ? max : std::max(max, c.own.size());
   }
-  return most;
+  return max;
 }
 
 suspicion
 suspicion_of(const candidate& c)
 {
   suspicion s;
-  s.ends = static_cast<std::uint32_t>(c.own.size());
-  s.explained = static_cast<std::uint32_t>(c.beside_none - c.own.size());
-  s.beside_idle = static_cast<std::uint32_t>(c.beside_idle);
-  for (const auto& [ended, end] : *c.ends) {
-    s.last_end_ms = std::max(s.last_end_ms, end.at_ms);
+  s.crashes = static_cast<std::uint32_t>(c.own.size());
+  s.explained = static_cast<std::uint32_t>(c.without_idle_peer - c.own.size());
+  s.with_idle_peer = static_cast<std::uint32_t>(c.with_idle_peer);
+  for (const auto& [of, observed] : *c.crashes) {
+    s.last_crash_ms = std::max(s.last_crash_ms, observed.at_ms);
   }
   return s;
 }
@@ -266,44 +276,45 @@
              const evidence_limits& limits)
 {
   return std::any_of(all.begin(), all.end(), [&](const auto& other) {
-    return &other != &c && shared_lives(c, other) + 1 >= limits.ends;
+    return &other != &c && shared_crashes(c, other) + 1 >= limits.crashes;
   });
 }
 
-// Those with the most ends are blamed for theirs, and what is left is counted
-// against the others. Of two that mostly ran together neither is blamed before
-// one more end has come: a bystander that died once more by chance would be
-// taken for the poisonous one.
+// Attributes crashes to the requests with the most crashes first; only the
+// remaining ones count against other requests. If two requests mostly ran
+// together, neither takes the blame before one more crash: otherwise a healthy
+// request with one additional unrelated crash would be taken for the poison
+// one.
 void
-blame(std::vector<candidate>& all,
-      const evidence_limits& limits,
-      std::map<fingerprint, suspicion>& out)
+attribute_crashes(std::vector<candidate>& all,
+                  const evidence_limits& limits,
+                  std::map<fingerprint, suspicion>& out)
 {
-  for (auto most = most_own(all); most >= limits.ends; most = most_own(all)) {
-    std::set<life> explained;
+  for (auto max = max_own(all); max >= limits.crashes; max = max_own(all)) {
+    std::set<incarnation> explained;
     for (auto& c : all) {
-      if (c.is_settled || c.own.size() != most) {
+      if (c.is_decided || c.own.size() != max) {
         continue;
       }
-      auto& s = out[c.work] = suspicion_of(c);
+      auto& s = out[c.request] = suspicion_of(c);
       s.contested = is_contested(c, all, limits);
-      if (!s.contested || most >= limits.ends_when_contested) {
+      if (!s.contested || max >= limits.crashes_when_contested) {
         explained.insert(c.own.begin(), c.own.end());
       }
     }
     for (auto& c : all) {
-      c.is_settled = c.is_settled || c.own.size() == most;
-      if (!c.is_settled) {
-        std::erase_if(c.own,
-                      [&](const life& l) { return explained.contains(l); });
+      c.is_decided = c.is_decided || c.own.size() == max;
+      if (!c.is_decided) {
+        std::erase_if(
+          c.own, [&](const incarnation& i) { return explained.contains(i); });
       }
     }
   }
 }
 
 void
-note_trials(const reports_by_name& reports,
-            std::map<fingerprint, suspicion>& suspicions)
+record_trials(const reports_by_name& reports,
+              std::map<fingerprint, suspicion>& suspicions)
 {
   for (const auto& [name, r] : reports) {
     const auto found = suspicions.find(r.trial);
@@ -317,22 +328,23 @@
 } // namespace
 
 std::map<fingerprint, suspicion>
-derive(const reports_by_name& reports, const evidence_limits& limits)
+derive_suspicions(const reports_by_name& reports, const evidence_limits& limits)
 {
-  const auto ends = ends_without_answer(reports, limits.moment_ms);
-  const auto sorted = by_time(reports);
+  const auto crashes =
+    crashes_since_answer(reports, limits.idle_crash_window_ms);
+  const auto sorted = sort_by_time(reports);
   std::vector<candidate> all;
-  for (const auto& [work, lives] : ends) {
-    all.push_back(candidate_of(work, lives, sorted, limits));
+  for (const auto& [request, request_crashes] : crashes) {
+    all.push_back(candidate_of(request, request_crashes, sorted, limits));
   }
   std::map<fingerprint, suspicion> suspicions;
-  blame(all, limits, suspicions);
+  attribute_crashes(all, limits, suspicions);
   for (const auto& c : all) {
-    if (!c.is_settled) {
-      suspicions[c.work] = suspicion_of(c);
+    if (!c.is_decided) {
+      suspicions[c.request] = suspicion_of(c);
     }
   }
-  note_trials(reports, suspicions);
+  record_trials(reports, suspicions);
   return suspicions;
 }
 
--- a/cactusford/quarantine/suspicion.h
+++ b/cactusford/quarantine/suspicion.h
@@ -1,12 +1,13 @@
-// What reports of ended backend servers say against each request. Pure.
+// Attributes reported backend server crashes to requests. Free of side effects.
 //
-// A backend server that ends takes all requests down that it runs, and it may
-// end for a cause of its own: one end says little of one request. Three ends
-// under the same request, without an answer in between, do: a call lasts some
-// ten milliseconds, so that ends for other causes meet the same one three times
-// in a row in practice only when it runs beside the poisonous one. Then the
-// poisonous one has as many ends or more, and what it explains is not counted
-// against others.
+// A crash takes down all requests that run on the server and may have another
+// cause, so a single crash says little about one request. Three crashes in a
+// row without a successful response are sufficient evidence: a call lasts some
+// ten milliseconds, so unrelated crashes hit the same call three times in a row
+// in practice only if it runs next to a poison request.
+//
+// In that case the poison request has at least as many crashes, and the crashes
+// attributed to it are not counted against other requests.
 #pragma once
 
 #include "cactusford/quarantine/fingerprint.h"
@@ -19,28 +20,31 @@
 
 namespace cactusford::quarantine {
 
-// One life of a backend server that has ended, and what an instance was running
-// there: nothing, when it was found to have ended beside another.
-struct ended_life
+// A crash of one incarnation of a backend server, and the requests of the
+// reporting instance that were running there. `running` is empty if the
+// instance found the server crashed after another server of the service had
+// crashed.
+struct crash
 {
   std::string backend;
   std::uint64_t started_ms = 0;
-  std::vector<fingerprint> ran;
-  // When it was seen; 0: with the rest of the report.
+  std::vector<fingerprint> running;
+  // When the crash was detected; 0 means the time of the report.
   std::uint64_t at_ms = 0;
 
-  friend bool operator==(const ended_life&, const ended_life&) = default;
+  friend bool operator==(const crash&, const crash&) = default;
 };
 
-// What one instance has seen.
+// Observations of one instance.
 struct report
 {
   std::string reporter;
   std::uint64_t at_ms = 0;
-  std::vector<ended_life> ended;
-  // Requests that a backend server has answered by then, and so doesn't end of.
+  std::vector<crash> crashes;
+  // Requests that a backend server had answered by `at_ms`, which clears them
+  // of earlier crashes.
   std::vector<fingerprint> answered;
-  // The request that the reporter tries again now; empty: none.
+  // The quarantined request that the reporter is trying again, or empty.
   fingerprint trial = {};
 
   friend bool operator==(const report&, const report&) = default;
@@ -48,57 +52,62 @@
 
 struct evidence_limits
 {
-  // The promise allows three ends, and three more while instances hear of each
-  // other. A request that shares most of its ends with another needs one end
-  // more to tell them apart.
-  std::uint32_t ends = 3;
-  std::uint32_t ends_when_contested = 4;
-  // An item runs for a second or more: engines that crash by turns meet the
-  // same one far more often than a call. Its one owner sees all of its ends at
-  // once, so that five come well before any other instance could add one.
-  std::uint32_t ends_of_item = 5;
-  // Ends that another request or cause explains say less, and yet not nothing:
-  // a request under which so many servers have ended, without one answer, is
-  // kept out whatever else ran there. Several poisonous requests that come
-  // together would otherwise explain each other's ends for ever. The promise
-  // allows six; of two instances that send it at the same time both count.
-  std::uint32_t ends_beside_others = 4;
-  std::uint32_t ends_in_all = 6;
-  std::uint32_t ends_in_all_of_item = 10;
-  // How long such a request is kept out. A new release of the service takes
-  // minutes or more; each trial before it may cost a server with all that runs
-  // there.
-  std::uint64_t refuse_ms = 600000;
-  // A life that ends within this time of one that ended idle ended for the same
-  // cause. An idle one is found by a look that begins when an end is seen, and
-  // clocks are near.
-  std::uint64_t moment_ms = 60;
-  // Lives that end this close, some with the request and some without, ended
-  // for one cause: as far as clocks and reports tell, at the same instant.
-  std::uint64_t instant_ms = 20;
-  // Reports older than this count no more. Until then one more end is enough.
-  std::uint64_t remember_ms = 3600000;
-  // A run that tries it again has ended within this time, or is given up.
+  // The service promises at most three crashes by one request, plus three while
+  // reports reach the other instances. A request that shares most of its
+  // crashes with another one needs one more crash to tell the two apart.
+  std::uint32_t crashes = 3;
+  std::uint32_t crashes_when_contested = 4;
+  // An item runs for a second or more, so engines that crash one after another
+  // for other causes hit the same item far more often than the same call. Only
+  // the owner of an item runs it and learns of all its crashes at once, so the
+  // limit of five is reached before another instance could add a crash.
+  std::uint32_t crashes_of_item = 5;
+  // Limits that include crashes attributed to another request or cause. Such
+  // crashes are weaker evidence, but after this many without a response the
+  // request is quarantined whatever else was running. Otherwise several poison
+  // requests that arrive together would exonerate each other forever. The
+  // promise allows six crashes; if two instances send the request at the same
+  // time, both crashes count.
+  std::uint32_t crashes_with_others = 4;
+  std::uint32_t total_crashes = 6;
+  std::uint32_t total_crashes_of_item = 10;
+  // How long a request stays quarantined. A release that fixes the service
+  // takes minutes or more, and each earlier trial may crash a server with all
+  // requests that it runs.
+  std::uint64_t quarantine_ms = 600000;
+  // A crash within this time of the crash of an idle server has the same cause.
+  // Crashed idle servers are found by probes that start when a crash is
+  // detected, and the clocks of the instances are close.
+  std::uint64_t idle_crash_window_ms = 60;
+  // If servers crash within this time of each other, some with the request and
+  // some without, the crashes have one cause: as far as clocks and reports can
+  // tell, they are simultaneous.
+  std::uint64_t same_cause_window_ms = 20;
+  // Older reports are ignored. Until a report expires, one more crash is enough
+  // to quarantine the request again.
+  std::uint64_t retention_ms = 3600000;
+  // A trial run has ended within this time or is abandoned.
   std::uint64_t trial_ms = 10000;
-  // Reports held: a rack of forty servers that ends under eleven hundred
-  // entries leaves about as many. Some 300 bytes each.
-  std::size_t reports = 2000;
+  // Maximum number of reports held, of some 300 bytes each. The crash of a rack
+  // of forty servers under 1,100 entries causes about this many.
+  std::size_t max_reports = 2000;
 
   friend bool operator==(const evidence_limits&,
                          const evidence_limits&) = default;
 };
 
-// What is held against one request.
+// Evidence against one request.
 struct suspicion
 {
-  // Lives that ended under it, less those that another request explains.
-  std::uint32_t ends = 0;
-  // Those that another request explains, and those that an idle server explains
-  // which ended beside.
+  // Crashes while the request ran, less those attributed to another request.
+  std::uint32_t crashes = 0;
+  // Crashes attributed to another request, and crashes that coincide with the
+  // crash of an idle server.
   std::uint32_t explained = 0;
-  std::uint32_t beside_idle = 0;
-  std::uint64_t last_end_ms = 0;
-  // Another one shares most of them: either may be the poisonous one.
+  std::uint32_t with_idle_peer = 0;
+  std::uint64_t last_crash_ms = 0;
+  // Another request shares most of the crashes, so either may be the poison
+  // one.
   bool contested = false;
   std::uint64_t last_trial_ms = 0;
 
@@ -108,6 +117,7 @@
 using reports_by_name = std::map<std::string, report>;
 
 std::map<fingerprint, suspicion>
-derive(const reports_by_name& reports, const evidence_limits& limits);
+derive_suspicions(const reports_by_name& reports,
+                  const evidence_limits& limits);
 
 } // namespace cactusford::quarantine
--- a/cactusford/routing/choose.cc
+++ b/cactusford/routing/choose.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Reports lag and age: others' calls end, so an old report counts for less.
+// Calls of other entries end after a load report was sent, so a report counts
+// for less the older it is.
 constexpr double report_half_life_ms = 1000;
 constexpr std::uint64_t first_avoid_ms = 200;
 constexpr std::uint64_t max_avoid_ms = 5000;
@@ -21,16 +22,17 @@
           std::span<const std::uint32_t> excluded,
           std::uint64_t now_ms)
 {
-  const bool out =
+  const bool is_excluded =
     std::find(excluded.begin(), excluded.end(), index) != excluded.end();
-  return !out && p.targets[index].avoid_until_ms <= now_ms;
+  return !is_excluded && p.targets[index].avoid_until_ms <= now_ms;
 }
 
 std::uint32_t
 random_index(pool_state& p)
 {
-  // A Weyl sequence through a mixer: spread evenly, the same on every run.
-  auto x = (p.turn += 0x9e3779b97f4a7c15ULL);
+  // A Weyl sequence passed through a mixing function: evenly distributed and
+  // the same on every run.
+  auto x = (p.cursor += 0x9e3779b97f4a7c15ULL);
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   return static_cast<std::uint32_t>((x >> 32) % p.targets.size());
 }
@@ -41,7 +43,8 @@
             std::uint64_t now_ms)
 {
   for (std::size_t i = 0; i < p.targets.size(); ++i) {
-    const auto index = static_cast<std::uint32_t>(p.turn++ % p.targets.size());
+    const auto index =
+      static_cast<std::uint32_t>(p.cursor++ % p.targets.size());
     if (is_usable(p, index, excluded, now_ms)) {
       return index;
     }
@@ -49,12 +52,12 @@
   return std::nullopt;
 }
 
-// The last resort when candidates and probes are all avoided: the usable one
-// with the least load among a bounded number from a random start.
+// Last resort when no candidate and no random probe is usable: the least loaded
+// of a bounded number of usable targets from a random start.
 std::optional<std::uint32_t>
-scan(pool_state& p,
-     std::span<const std::uint32_t> excluded,
-     std::uint64_t now_ms)
+scan_least_loaded(pool_state& p,
+                  std::span<const std::uint32_t> excluded,
+                  std::uint64_t now_ms)
 {
   std::optional<std::uint32_t> best;
   const auto start = random_index(p);
@@ -85,7 +88,7 @@
   for (const auto& t : targets) {
     p.by_name.emplace(t.instance, static_cast<std::uint32_t>(names.size()));
     names.push_back(t.instance);
-    p.own_total += t.own;
+    p.total_own_calls += t.own_calls;
   }
   p.by_hash = make_ring(names);
   p.targets = std::move(targets);
@@ -105,9 +108,10 @@
 {
   const auto age =
     now_ms > t.reported_ms ? static_cast<double>(now_ms - t.reported_ms) : 0.0;
-  const auto others =
-    t.others > 0 ? t.others * std::exp2(-age / report_half_life_ms) : 0.0;
-  return (t.own + others) / t.slots;
+  const auto other_calls =
+    t.other_calls > 0 ? t.other_calls * std::exp2(-age / report_half_life_ms)
+                      : 0.0;
+  return (t.own_calls + other_calls) / t.slots;
 }
 
 std::optional<std::uint32_t>
@@ -123,7 +127,7 @@
   if (!o.by_load) {
     return round_robin(p, excluded, now_ms);
   }
-  const auto mean = static_cast<double>(p.own_total) /
+  const auto mean = static_cast<double>(p.total_own_calls) /
                     static_cast<double>(p.targets.size()) /
                     p.targets.front().slots;
   std::optional<std::uint32_t> best;
@@ -137,15 +141,15 @@
     return load;
   };
   if (o.by_prefix) {
-    std::array<std::uint32_t, candidate_count> near{};
-    const auto count = candidates_of(p.by_hash, key, near);
+    std::array<std::uint32_t, candidate_count> candidates{};
+    const auto count = candidates_of(p.by_hash, key, candidates);
     for (std::size_t i = 0; i < count; ++i) {
-      const auto index = near.at(i);
+      const auto index = candidates.at(i);
       if (!is_usable(p, index, excluded, now_ms)) {
         continue;
       }
-      // One call more must still fit under the bound, or a hot prefix would
-      // queue on its server while others idle.
+      // One more call must still fit under the bound. Otherwise calls with a
+      // hot prefix would queue on its server while other servers are idle.
       const auto& t = p.targets[index];
       const auto step = 1.0 / t.slots;
       if (consider(index) + step <= o.bound * (mean + step)) {
@@ -159,40 +163,40 @@
       consider(index);
     }
   }
-  return best ? best : scan(p, excluded, now_ms);
+  return best ? best : scan_least_loaded(p, excluded, now_ms);
 }
 
 void
-sent(pool_state& p, std::uint32_t index)
+note_sent(pool_state& p, std::uint32_t index)
 {
-  ++p.targets[index].own;
-  ++p.own_total;
+  ++p.targets[index].own_calls;
+  ++p.total_own_calls;
 }
 
 void
-returned(pool_state& p, std::uint32_t index)
+note_returned(pool_state& p, std::uint32_t index)
 {
   auto& t = p.targets[index];
-  if (t.own > 0) {
-    --t.own;
-    --p.own_total;
+  if (t.own_calls > 0) {
+    --t.own_calls;
+    --p.total_own_calls;
   }
 }
 
 void
-reported(target& t,
-         std::uint32_t busy,
-         std::uint32_t slots,
-         std::uint64_t now_ms)
+note_load_report(target& t,
+                 std::uint32_t active_calls,
+                 std::uint32_t slots,
+                 std::uint64_t now_ms)
 {
-  t.others = busy > t.own ? busy - t.own : 0;
+  t.other_calls = active_calls > t.own_calls ? active_calls - t.own_calls : 0;
   t.slots = std::max<std::uint32_t>(slots, 1);
   t.reported_ms = now_ms;
   t.failures = 0;
 }
 
 void
-failed(target& t, std::uint64_t now_ms)
+note_failure(target& t, std::uint64_t now_ms)
 {
   const auto exponent = std::min<std::uint32_t>(t.failures, 10);
   t.avoid_until_ms =
--- a/cactusford/routing/choose.h
+++ b/cactusford/routing/choose.h
@@ -1,5 +1,6 @@
-// Chooses the backend server for a call: prefix affinity up to a load bound,
-// else the least expected wait. Pure; times are steady milliseconds.
+// Chooses a backend server for a call: by prefix affinity up to a load bound,
+// otherwise the one with the least expected load. Free of side effects beyond
+// `pool_state`; times are milliseconds of a steady clock.
 #pragma once
 
 #include "cactusford/routing/ring.h"
@@ -13,19 +14,20 @@
 
 namespace cactusford::routing {
 
-// What an entry knows of one backend server.
+// State that an entry tracks for one backend server.
 struct target
 {
   std::string instance;
   std::string link;
   std::uint32_t slots = 16;
-  // Calls of this entry that are under way.
-  std::uint32_t own = 0;
-  // Calls of all others at the last report, which ages.
-  double others = 0;
+  // Calls in flight from this entry.
+  std::uint32_t own_calls = 0;
+  // Calls from all other entries at the last load report. Decays with the age
+  // of the report.
+  double other_calls = 0;
   std::uint64_t reported_ms = 0;
   std::uint64_t incarnation = 0;
-  // Refuses or does not answer until this time.
+  // After a refusal or failure the target is not used before this time.
   std::uint64_t avoid_until_ms = 0;
   std::uint32_t failures = 0;
 
@@ -34,11 +36,11 @@
 
 struct options
 {
-  // Off: every call goes round robin (the baseline).
+  // If false, calls are distributed round robin (the baseline).
   bool by_load = true;
-  // Off: the key of the call is ignored.
+  // If false, the key of the call is ignored.
   bool by_prefix = true;
-  // A candidate takes calls up to this factor of the mean load.
+  // A candidate takes calls until its load reaches this factor of the mean.
   double bound = 1.25;
 
   friend bool operator==(const options&, const options&) = default;
@@ -49,9 +51,9 @@
   std::vector<target> targets;
   ring by_hash;
   std::unordered_map<std::string, std::uint32_t> by_name;
-  // Sum of `own`, kept with it.
-  std::uint64_t own_total = 0;
-  std::uint64_t turn = 0;
+  // Sum of `own_calls` over all targets, updated together with them.
+  std::uint64_t total_own_calls = 0;
+  std::uint64_t cursor = 0;
 };
 
 constexpr std::size_t candidate_count = 4;
@@ -62,12 +64,13 @@
 std::optional<std::uint32_t>
 find(const pool_state& p, const std::string& instance);
 
-// Running and queued calls for each slot, as expected now.
+// Estimates the running and queued calls per slot at `now_ms`.
 double
 expected_load(const target& t, std::uint64_t now_ms);
 
-// Index of the target. `excluded` are targets that refused this call before;
-// they are taken only when no other is left.
+// Returns the index of the chosen target, or nothing if none is usable. Targets
+// in `excluded`, which refused this call before, are never chosen: a caller
+// that may use them when no other is left calls again without exclusions.
 std::optional<std::uint32_t>
 choose(pool_state& p,
        std::uint64_t key,
@@ -76,20 +79,21 @@
        std::uint64_t now_ms);
 
 void
-sent(pool_state& p, std::uint32_t index);
+note_sent(pool_state& p, std::uint32_t index);
 
 void
-returned(pool_state& p, std::uint32_t index);
+note_returned(pool_state& p, std::uint32_t index);
 
-// A load report on a frame: `busy` is running and queued.
+// Applies a load report. `active_calls` counts running and queued calls.
 void
-reported(target& t,
-         std::uint32_t busy,
-         std::uint32_t slots,
-         std::uint64_t now_ms);
+note_load_report(target& t,
+                 std::uint32_t active_calls,
+                 std::uint32_t slots,
+                 std::uint64_t now_ms);
 
-// It did not answer: avoided for a time that doubles up to a limit.
+// Records that the target did not respond. It is avoided for a time that
+// doubles with each failure up to a limit.
 void
-failed(target& t, std::uint64_t now_ms);
+note_failure(target& t, std::uint64_t now_ms);
 
 } // namespace cactusford::routing
--- a/cactusford/routing/ring.h
+++ b/cactusford/routing/ring.h
@@ -1,5 +1,6 @@
-// Which backend servers a prefix belongs to: a hash ring with virtual nodes
-// (Karger et al., 1997), so a look-up costs the same at any fleet size. Pure.
+// Consistent hashing (Karger et al., 1997): maps a prefix to backend servers
+// through a ring with virtual nodes. The cost of a lookup hardly grows with the
+// size of the fleet. Free of side effects.
 #pragma once
 
 #include <cstdint>
@@ -19,22 +20,22 @@
 
     friend auto operator<=>(const point&, const point&) = default;
   };
-  // By hash.
+  // Sorted by hash.
   std::vector<point> points;
   std::uint32_t members = 0;
 
   friend bool operator==(const ring&, const ring&) = default;
 };
 
-// Members are named by their index.
+// Points of the ring refer to members by their index in `members`.
 ring
 make_ring(std::span<const std::string> members);
 
 std::uint64_t
 hash_of(std::string_view key) noexcept;
 
-// Writes up to `out.size()` different members in ring order from the key on
-// and returns how many.
+// Writes up to `out.size()` distinct members in ring order, starting at `key`,
+// and returns their number.
 std::size_t
 candidates_of(const ring& r, std::uint64_t key, std::span<std::uint32_t> out);
 
