--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -146,17 +146,17 @@
 void
 admit_key(benchmark::State& state)
 {
-  calls::record r;
+  calls::idempotency_record r;
   r.limits.max_entries = 2'000'000;
   r.limits.max_bytes = 1U << 30;
   const auto answer =
-    std::make_shared<const calls::kept_answer>(calls::kept_answer{});
+    std::make_shared<const calls::stored_answer>(calls::stored_answer{});
   std::uint64_t id = 0;
   constexpr std::uint64_t now = 10'000'000;
   while (state.KeepRunning()) {
     const auto key = "01a23817-13cf-79fb-b1b5-" + std::to_string(++id);
     calls::admit(r, { key, now, 1 }, now);
-    calls::answered(r, key, answer);
+    calls::store_answer(r, key, answer);
     if (r.entries.size() > 100000) {
       state.PauseTiming();
       r.entries.clear();
@@ -202,7 +202,7 @@
   std::size_t at = 0;
   while (state.KeepRunning()) {
     at = (at + 7919) % keys.size();
-    benchmark::DoNotOptimize(workspaces::holder_of(d, keys[at]));
+    benchmark::DoNotOptimize(workspaces::find_workspace(d, keys[at]));
   }
 }
 BENCHMARK(find_key)->Arg(workspaces_today)->Arg(many_workspaces);
--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -140,7 +140,7 @@
   f.route = *route;
   // May be repeated, whatever the route allows to callers.
   f.route.kind = routes::call_kind::idempotent;
-  f.ends_with_a_cut = true;
+  f.no_retry_after_disconnect = true;
   f.request = request_of(call);
   f.request.fields.push_back({ p.dialect.headers.request_id, call.id });
   f.give_up_ms = http::now_ms() + route->timeout_ms;
@@ -206,8 +206,8 @@
     process::log_line(timeline::event{ "item_score_quarantined" }
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
-                        .with("ends", o.ends)
-                        .with("come_back_ms", o.come_back_ms));
+                        .with("ends", o.crashes)
+                        .with("come_back_ms", o.retry_after_ms));
   }
   i.score_again_ms =
     http::now_ms() + (kept_out ? kept_out_look_ms : scorer_pause_ms);
--- a/cactusford/calls/tenure.cc
+++ b/cactusford/calls/tenure.cc
@@ -14,92 +14,97 @@
 constexpr std::uint32_t retry_ms = 100;
 
 const home_member*
-member_of(const tenure& t, const std::string& name)
+member_of(const key_ownership& state, const std::string& name)
 {
-  const auto found = std::find_if(t.map.members.begin(),
-                                  t.map.members.end(),
+  const auto found = std::find_if(state.map.members.begin(),
+                                  state.map.members.end(),
                                   [&](auto& m) { return m.instance == name; });
-  return found == t.map.members.end() ? nullptr : &*found;
+  return found == state.map.members.end() ? nullptr : &*found;
 }
 
-// The present member that had the key before this one joined, unless it was a
-// former one. Members that joined with or after it never had the key.
+// Returns the present member that owned the key before this home joined, unless
+// a former member did. Members that joined with this home or after it never
+// owned the key.
 const home_member*
-elder_home(const tenure& t, std::string_view key)
+previous_home(const key_ownership& state, std::string_view key)
 {
   const home_member* best = nullptr;
   std::uint64_t weight = 0;
-  const auto* me = member_of(t, t.self);
-  for (const auto& m : t.map.members) {
-    const auto w = weight_of(m.instance, key);
-    const bool elder = me != nullptr && m.since_ms < me->since_ms;
-    if (elder && (best == nullptr || w > weight)) {
+  const auto* self_member = member_of(state, state.self);
+  for (const auto& m : state.map.members) {
+    const auto member_weight = weight_of(m.instance, key);
+    const bool was_earlier =
+      self_member != nullptr && m.since_ms < self_member->since_ms;
+    if (was_earlier && (best == nullptr || member_weight > weight)) {
       best = &m;
-      weight = w;
+      weight = member_weight;
     }
   }
   return best;
 }
 
-struct source
+struct possible_owner
 {
-  // As in `pending`.
+  // Member name or incarnation id, as in `pending_handovers`.
   std::string instance;
-  // What stands in its place when it cannot be heard.
+  // Used as the ownership time when the instance cannot be reached.
   std::uint64_t until_ms = 0;
 };
 
-// Instances that may have run the key before it was this home's: former
-// members that outrank it, and, when this home joined later, whoever had the
-// key until then.
-std::vector<source>
-sources_of(const tenure& t, std::string_view key)
+// Returns the instances that may have run the key before this home owned it:
+// former members with a higher weight and, when this home joined later, the
+// owner until then.
+std::vector<possible_owner>
+possible_owners(const key_ownership& state, std::string_view key)
 {
-  std::vector<source> found;
-  const auto* me = member_of(t, t.self);
-  const auto* elder = elder_home(t, key);
-  const auto mine = weight_of(t.self, key);
-  const auto since = me == nullptr ? 0 : me->since_ms;
-  for (const auto& f : t.map.former) {
-    const auto w = weight_of(f.instance, key);
-    // One that ranks lower may have had the key until this home joined, unless
-    // it has handed over since. Its rank among those of that time is not
-    // known any more, so any rank counts.
-    const bool heard = t.heard.contains(id_of(f.instance, f.incarnation));
-    if (w >= mine || (since > 0 && !heard)) {
-      found.push_back({ id_of(f.instance, f.incarnation), f.until_ms });
+  std::vector<possible_owner> found;
+  const auto* self_member = member_of(state, state.self);
+  const auto* previous = previous_home(state, key);
+  const auto own_weight = weight_of(state.self, key);
+  const auto since = self_member == nullptr ? 0 : self_member->since_ms;
+  for (const auto& f : state.map.former) {
+    const auto member_weight = weight_of(f.instance, key);
+    // A former member with a lower weight may have owned the key until this
+    // home joined, unless it has handed over since. The members of that time
+    // are no longer known, so a former member of any weight counts.
+    const bool has_handed_over = state.completed_handovers.contains(
+      incarnation_id(f.instance, f.incarnation));
+    if (member_weight >= own_weight || (since > 0 && !has_handed_over)) {
+      found.push_back(
+        { incarnation_id(f.instance, f.incarnation), f.until_ms });
     }
   }
-  if (elder != nullptr) {
-    found.push_back({ elder->instance, since });
+  if (previous != nullptr) {
+    found.push_back({ previous->instance, since });
   }
   return found;
 }
 
-// Enough others judge by this map that `absent` cannot be confirmed under an
-// older one.
+// True when enough other members use this map that `absent` cannot get an older
+// map confirmed.
 bool
-has_quorum(const tenure& t,
-           const std::string& absent,
-           const std::vector<std::string>& peers)
+has_takeover_quorum(const key_ownership& state,
+                    const std::string& absent,
+                    const std::vector<std::string>& peers)
 {
   const auto known =
     std::count_if(peers.begin(), peers.end(), [&](const auto& p) {
-      const bool self = p == t.self;
-      return p != absent &&
-             (self || (member_of(t, p) != nullptr && !t.pending.contains(p)));
+      const bool self = p == state.self;
+      return p != absent && (self || (member_of(state, p) != nullptr &&
+                                      !state.pending_handovers.contains(p)));
     });
   return static_cast<std::size_t>(known) >= takeover_quorum(peers.size() + 1);
 }
 
-// Members that were there before this one joined.
+// Returns the members that joined before this one.
 std::vector<std::string>
-elders_of(const tenure& t, const std::string& absent)
+earlier_members(const key_ownership& state, const std::string& absent)
 {
   std::vector<std::string> names;
-  const auto* me = member_of(t, t.self);
-  for (const auto& m : t.map.members) {
-    if (me != nullptr && m.since_ms < me->since_ms && m.instance != absent) {
+  const auto* self_member = member_of(state, state.self);
+  for (const auto& m : state.map.members) {
+    if (self_member != nullptr && m.since_ms < self_member->since_ms &&
+        m.instance != absent) {
       names.push_back(m.instance);
     }
   }
@@ -107,18 +112,20 @@
 }
 
 void
-note_quorums(tenure& t, std::uint64_t wall_ms)
+record_quorums(key_ownership& state, std::uint64_t wall_ms)
 {
-  for (const auto& f : t.map.former) {
-    const auto id = id_of(f.instance, f.incarnation);
-    if (t.pending.contains(id) && has_quorum(t, f.instance, f.peers)) {
-      t.quorum_wall_ms.emplace(id, wall_ms);
+  for (const auto& f : state.map.former) {
+    const auto id = incarnation_id(f.instance, f.incarnation);
+    if (state.pending_handovers.contains(id) &&
+        has_takeover_quorum(state, f.instance, f.peers)) {
+      state.quorum_wall_ms.emplace(id, wall_ms);
     }
   }
-  for (const auto& m : t.map.members) {
-    if (t.pending.contains(m.instance) &&
-        has_quorum(t, m.instance, elders_of(t, m.instance))) {
-      t.quorum_wall_ms.emplace(m.instance, wall_ms);
+  for (const auto& m : state.map.members) {
+    if (state.pending_handovers.contains(m.instance) &&
+        has_takeover_quorum(
+          state, m.instance, earlier_members(state, m.instance))) {
+      state.quorum_wall_ms.emplace(m.instance, wall_ms);
     }
   }
 }
@@ -126,7 +133,7 @@
 } // namespace
 
 std::string
-id_of(const std::string& instance, std::uint64_t incarnation)
+incarnation_id(const std::string& instance, std::uint64_t incarnation)
 {
   return instance + "#" + std::to_string(incarnation);
 }
@@ -145,38 +152,38 @@
 }
 
 void
-adopt(tenure& t,
+adopt(key_ownership& state,
       const configuration::home_map& map,
       std::uint64_t version,
       std::uint64_t wall_ms,
       std::uint64_t steady_ms)
 {
-  if (version <= t.map_version) {
+  if (version <= state.map_version) {
     return;
   }
-  t.map = map;
-  t.map_version = version;
-  t.pending.clear();
-  if (member_of(t, t.self) == nullptr) {
-    t.heard.clear();
+  state.map = map;
+  state.map_version = version;
+  state.pending_handovers.clear();
+  if (member_of(state, state.self) == nullptr) {
+    state.completed_handovers.clear();
   }
-  t.floors.clear();
-  t.adopted_steady_ms = steady_ms;
-  t.ever_confirmed = false;
+  state.handover_floors.clear();
+  state.adopted_steady_ms = steady_ms;
+  state.ever_confirmed = false;
   for (const auto& m : map.members) {
-    if (m.instance != t.self) {
-      t.pending.insert(m.instance);
+    if (m.instance != state.self) {
+      state.pending_handovers.insert(m.instance);
     }
   }
   for (const auto& f : map.former) {
-    t.pending.insert(id_of(f.instance, f.incarnation));
+    state.pending_handovers.insert(incarnation_id(f.instance, f.incarnation));
   }
-  t.quorum_wall_ms.clear();
-  note_quorums(t, wall_ms);
+  state.quorum_wall_ms.clear();
+  record_quorums(state, wall_ms);
 }
 
 void
-on_handover(tenure& t,
+on_handover(key_ownership& state,
             const std::string& from,
             std::uint64_t incarnation,
             std::uint64_t version,
@@ -184,85 +191,94 @@
             std::uint64_t floor_ms,
             std::uint64_t wall_ms)
 {
-  // One that judges by a newer map hands over by that one, and would leave out
-  // what is this home's only under the older.
-  if (version != t.map_version || !complete) {
+  // A sender with a newer map hands over keys by that map, and would omit keys
+  // that this home owns only under the older one.
+  if (version != state.map_version || !complete) {
     return;
   }
-  // A process that came back under the name of a crashed one is asked like
-  // any other, but it settles nothing for its predecessor: with that the keys
-  // of the crashed one ran again at its successor.
-  const auto former = id_of(from, incarnation);
-  if (member_of(t, t.self) != nullptr) {
-    t.heard[former] = floor_ms;
+  // A process restarted under the name of a crashed one is asked like any other
+  // member, but its reply does not count for the crashed incarnation. Otherwise
+  // keys that the crashed incarnation had run would run again at the new home.
+  const auto former = incarnation_id(from, incarnation);
+  if (member_of(state, state.self) != nullptr) {
+    state.completed_handovers[former] = floor_ms;
   }
   for (const auto& id : { from, former }) {
-    t.pending.erase(id);
-    t.floors[id] = floor_ms;
+    state.pending_handovers.erase(id);
+    state.handover_floors[id] = floor_ms;
   }
-  note_quorums(t, wall_ms);
+  record_quorums(state, wall_ms);
 }
 
 void
-on_confirmed(tenure& t, std::size_t others, std::uint64_t asked_steady_ms)
+on_confirmed(key_ownership& state,
+             std::size_t others,
+             std::uint64_t asked_steady_ms)
 {
-  if (others + 1 >= confirm_quorum(t.map.members.size())) {
-    t.confirmed_steady_ms = asked_steady_ms;
-    t.ever_confirmed = true;
+  if (others + 1 >= confirm_quorum(state.map.members.size())) {
+    state.confirmed_steady_ms = asked_steady_ms;
+    state.ever_confirmed = true;
   }
 }
 
-// A home that is cut off cannot know that its keys have a new home. It stops
-// within the lease, and a new home that could not hear it waits for longer.
-// The quorums that confirm an old map and that allow a takeover meet in one
-// member at least, and that one would know of the newer map.
+// A disconnected home cannot know that its keys have moved. It stops serving
+// them within the lease, and a new home that cannot reach it waits for longer
+// than the lease. The quorum that confirms an old map and the quorum that
+// allows a takeover share at least one member, and that member would know of
+// the newer map.
 bool
-is_current(const tenure& t,
-           std::uint64_t platform_age_ms,
-           std::uint64_t steady_ms)
+is_map_confirmed(const key_ownership& state,
+                 std::uint64_t platform_age_ms,
+                 std::uint64_t steady_ms)
 {
   const bool by_majority =
-    t.ever_confirmed && steady_ms - t.confirmed_steady_ms < t.lease_ms;
-  return platform_age_ms < t.lease_ms || by_majority;
+    state.ever_confirmed &&
+    steady_ms - state.confirmed_steady_ms < state.lease_ms;
+  return platform_age_ms < state.lease_ms || by_majority;
 }
 
-key_judgement
-judge_key(const tenure& t, std::string_view key, std::uint64_t steady_ms)
+key_check
+check_key(const key_ownership& state,
+          std::string_view key,
+          std::uint64_t steady_ms)
 {
-  key_judgement j;
-  j.tenure_ms = own_floor(t);
-  for (const auto& [id, floor] : t.heard) {
-    j.tenure_ms = std::max(j.tenure_ms, floor);
+  key_check check;
+  check.owned_since_ms = own_floor(state);
+  for (const auto& [id, floor] : state.completed_handovers) {
+    check.owned_since_ms = std::max(check.owned_since_ms, floor);
   }
-  const bool patient = steady_ms - t.adopted_steady_ms < t.lease_ms;
-  for (const auto& s : sources_of(t, key)) {
-    if (!t.pending.contains(s.instance)) {
-      const auto floor = t.floors.find(s.instance);
-      j.tenure_ms =
-        std::max(j.tenure_ms, floor == t.floors.end() ? 0 : floor->second);
+  const bool within_lease =
+    steady_ms - state.adopted_steady_ms < state.lease_ms;
+  for (const auto& s : possible_owners(state, key)) {
+    if (!state.pending_handovers.contains(s.instance)) {
+      const auto floor = state.handover_floors.find(s.instance);
+      check.owned_since_ms =
+        std::max(check.owned_since_ms,
+                 floor == state.handover_floors.end() ? 0 : floor->second);
       continue;
     }
-    const auto quorum = t.quorum_wall_ms.find(s.instance);
-    if (patient || quorum == t.quorum_wall_ms.end()) {
-      j.why = { error_kind::not_home,
-                s.instance + " has not handed over yet",
-                retry_ms };
-      return j;
+    const auto quorum = state.quorum_wall_ms.find(s.instance);
+    if (within_lease || quorum == state.quorum_wall_ms.end()) {
+      check.error = { error_kind::not_home,
+                      s.instance + " has not handed over yet",
+                      retry_ms };
+      return check;
     }
-    // It cannot be heard: whatever it may have run is of unknown outcome.
-    j.tenure_ms =
-      std::max({ j.tenure_ms, s.until_ms, quorum->second + t.lease_ms });
+    // The instance cannot be reached: the outcome of every key that it may have
+    // run is unknown.
+    check.owned_since_ms = std::max(
+      { check.owned_since_ms, s.until_ms, quorum->second + state.lease_ms });
   }
-  return j;
+  return check;
 }
 
 std::uint64_t
-own_floor(const tenure& t)
+own_floor(const key_ownership& state)
 {
-  const auto* me = member_of(t, t.self);
+  const auto* self_member = member_of(state, state.self);
   const bool same_process =
-    me != nullptr && me->incarnation == t.incarnation_ms;
-  return same_process ? 0 : t.incarnation_ms;
+    self_member != nullptr && self_member->incarnation == state.incarnation_ms;
+  return same_process ? 0 : state.incarnation_ms;
 }
 
 } // namespace cactusford::calls
--- a/cactusford/calls/tenure.h
+++ b/cactusford/calls/tenure.h
@@ -1,7 +1,7 @@
-// What a home must know before it runs a key: that no earlier home ran it, or
-// may still run it. Pure; `wall` times are milliseconds since 1970, `steady`
-// times those of this process. The protocol and its proof:
-// docs/AT-MOST-ONCE.md.
+// Decides whether a home may run a key: only once no earlier home can have run
+// it or still run it. Has no side effects; `wall` times are milliseconds since
+// 1970, `steady` times are of this process's steady clock. The protocol and its
+// proof are in docs/AT-MOST-ONCE.md.
 #pragma once
 
 #include "cactusford/calls/home.h"
@@ -16,59 +16,66 @@
 
 namespace cactusford::calls {
 
-struct tenure
+struct key_ownership
 {
   std::string self;
   std::uint32_t lease_ms = 10000;
-  // When this process started.
+  // Start time of this process.
   std::uint64_t incarnation_ms = 0;
 
   configuration::home_map map;
   std::uint64_t map_version = 0;
-  // Members by name, and former ones by `id_of`, that have not yet said what
-  // they ran of the keys that are now this home's, under the present map.
-  std::set<std::string> pending;
-  // Processes, by `id_of`, that have handed over since this home joined: they
-  // run none of its keys any more, whatever becomes of them.
-  // With the time before which each could not speak either.
-  std::map<std::string, std::uint64_t> heard;
-  // What each that has said so could not know itself.
-  std::map<std::string, std::uint64_t> floors;
-  // For an instance that cannot be heard: when so many others were first known
-  // to judge by this map that it cannot be confirmed under the old one.
+  // Members (by name) and former members (by `incarnation_id`) that have not
+  // yet handed over, under the present map, what they ran of the keys that this
+  // home now owns.
+  std::set<std::string> pending_handovers;
+  // Incarnations, by `incarnation_id`, that have handed over since this home
+  // joined, with the floor that each reported. They no longer run any of this
+  // home's keys, even if they crash later.
+  std::map<std::string, std::uint64_t> completed_handovers;
+  // The floor that each member or former member reported under the present map:
+  // it has no record of keys issued before that time.
+  std::map<std::string, std::uint64_t> handover_floors;
+  // For an instance that does not answer: when enough other members were first
+  // known to use this map that the instance can no longer get an older map
+  // confirmed.
   std::map<std::string, std::uint64_t> quorum_wall_ms;
   std::uint64_t adopted_steady_ms = 0;
-  // When a majority last confirmed that there is no newer map, by the time
-  // at which it was asked.
+  // When the last round of confirmations was sent in which a majority knew of
+  // no newer map.
   std::uint64_t confirmed_steady_ms = 0;
   bool ever_confirmed = false;
 };
 
-// Members, with the home itself, that must confirm a map of `members` for it
-// to go on without the platform. One alone never can.
+// Number of members, including this home, that must confirm a map of `members`
+// for it to stay valid without the platform. A single member can never confirm
+// its own map.
 std::size_t
 confirm_quorum(std::size_t members);
 
-// Other members that must know of a newer map before the keys of one that
-// cannot be heard may run: with these, too few are left to confirm it.
+// Number of other members that must know of a newer map before the keys of an
+// unreachable member may run elsewhere: too few are then left to confirm the
+// older map.
 std::size_t
 takeover_quorum(std::size_t members);
 
-// Takes a newer map. All other members and former ones are to be asked.
+// Adopts a newer map. Handovers are then pending from all other members and
+// former members.
 void
-adopt(tenure& t,
+adopt(key_ownership& state,
       const configuration::home_map& map,
       std::uint64_t version,
       std::uint64_t wall_ms,
       std::uint64_t steady_ms);
 
-// The name of one process of an instance that was a member.
+// Identifies one incarnation of an instance that was a member.
 std::string
-id_of(const std::string& instance, std::uint64_t incarnation);
+incarnation_id(const std::string& instance, std::uint64_t incarnation);
 
-// A member or former one judges by `version`. `complete`: it has handed over.
+// Processes a handover reply from a member or former member that uses map
+// `version`. `complete` is true when it has handed over all keys.
 void
-on_handover(tenure& t,
+on_handover(key_ownership& state,
             const std::string& from,
             std::uint64_t incarnation,
             std::uint64_t version,
@@ -76,33 +83,37 @@
             std::uint64_t floor_ms,
             std::uint64_t wall_ms);
 
-// Replies to a round of confirmations that was sent at `asked_steady_ms`:
-// how many other members answered that they know no newer map.
+// Processes the replies to a round of confirmations sent at `asked_steady_ms`:
+// `others` is the number of other members that know of no newer map.
 void
-on_confirmed(tenure& t, std::size_t others, std::uint64_t asked_steady_ms);
+on_confirmed(key_ownership& state,
+             std::size_t others,
+             std::uint64_t asked_steady_ms);
 
-// Whether this home may decide on keys at all: the platform or a majority has
-// confirmed the map within the lease. `platform_age_ms` is the time since the
-// platform did.
+// True when this home may decide on keys at all: the platform or a majority of
+// members has confirmed the map within the lease. `platform_age_ms` is the time
+// since the platform confirmed it.
 bool
-is_current(const tenure& t,
-           std::uint64_t platform_age_ms,
-           std::uint64_t steady_ms);
+is_map_confirmed(const key_ownership& state,
+                 std::uint64_t platform_age_ms,
+                 std::uint64_t steady_ms);
 
-struct key_judgement
+struct key_check
 {
-  // not_home while an earlier home has not been heard.
-  failure why;
-  // Keys issued before this are of unknown outcome.
-  std::uint64_t tenure_ms = 0;
+  // `not_home` while an earlier home has not handed over.
+  failure error;
+  // Keys issued before this time have an unknown outcome.
+  std::uint64_t owned_since_ms = 0;
 };
 
-key_judgement
-judge_key(const tenure& t, std::string_view key, std::uint64_t steady_ms);
+key_check
+check_key(const key_ownership& state,
+          std::string_view key,
+          std::uint64_t steady_ms);
 
-// Keys issued before this may have run here under an earlier process, whose
-// record is lost.
+// Keys issued before this time may have run here under an earlier incarnation,
+// whose record is lost.
 std::uint64_t
-own_floor(const tenure& t);
+own_floor(const key_ownership& state);
 
 } // namespace cactusford::calls
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -29,7 +29,7 @@
   std::uint64_t give_up_ms = 0;
   // After an attempt whose connection was cut it is for the asker to try again,
   // as nobody waits for the answer.
-  bool ends_with_a_cut = false;
+  bool no_retry_after_disconnect = false;
 };
 
 enum class forward_end
@@ -61,8 +61,8 @@
   std::string backend;
   // For `quarantined`: in how many milliseconds it may be tried again, and how
   // many backend servers have ended under it.
-  std::uint64_t come_back_ms = 0;
-  std::uint32_t ends = 0;
+  std::uint64_t retry_after_ms = 0;
+  std::uint32_t crashes = 0;
 };
 
 // What an attempt's end means for the call. Pure.
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -1,7 +1,7 @@
 // A request that ends every backend server that runs it: entries as processes,
 // the store and the servers in the test.
 #include "cactusford/testing/section.h"
-#include "tests/process_world.h"
+#include "tests/process_cluster.h"
 
 #include <asio/steady_timer.hpp>
 
@@ -19,9 +19,9 @@
 constexpr std::size_t ends_before = 3;
 constexpr std::size_t late_runs_allowed = 3;
 
-using world = testing::process_world;
-using answer = testing::process_answer;
-using testing::fatal;
+using world = testing::process_cluster;
+using answer = testing::exchange_result;
+using testing::poison_body;
 
 // Sends a fatal request to one entry after the other until three servers have
 // ended under it.
@@ -32,10 +32,10 @@
 {
   const auto before = w.service.ends();
   for (std::size_t at = 0; w.service.ends() < before + ends_before; ++at) {
-    w.wait_servers();
-    w.call(at % w.entries.size(), fatal, target, key);
+    w.wait_for_servers();
+    w.call(at % w.entries.size(), poison_body, target, key);
   }
-  w.wait_servers();
+  w.wait_for_servers();
 }
 
 // Refused, with a time that says minutes: a server that is down is back sooner.
@@ -51,15 +51,15 @@
 void
 expect_kept_out(world& w, const std::string& target)
 {
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   std::size_t served = 0;
   for (std::size_t i = 0; i < 2 * w.entries.size(); ++i) {
     const auto at = i % w.entries.size();
-    cr_expect(is_kept_out(w.call(at, fatal, target)));
+    cr_expect(is_kept_out(w.call(at, poison_body, target)));
     served += w.call(at, "other", target).value.status == 200 ? 1 : 0;
-    w.wait_servers();
+    w.wait_for_servers();
   }
-  cr_expect_leq(w.fatal_runs() - before, late_runs_allowed);
+  cr_expect_leq(w.count_poison_runs() - before, late_runs_allowed);
   cr_expect_eq(served, 2 * w.entries.size());
 }
 
@@ -99,13 +99,13 @@
   world w{ "keyed", 2 };
   end_three(w, "/look/", "key-1");
   w.run_for(contact_ms);
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, fatal, "/look/", "key-1")));
+    cr_expect(is_kept_out(w.call(at, poison_body, "/look/", "key-1")));
   }
-  cr_expect_eq(w.fatal_runs(), before);
-  cr_expect_not(is_kept_out(w.call(0, fatal, "/look/", "key-2")));
-  cr_expect_gt(w.fatal_runs(), before);
+  cr_expect_eq(w.count_poison_runs(), before);
+  cr_expect_not(is_kept_out(w.call(0, poison_body, "/look/", "key-2")));
+  cr_expect_gt(w.count_poison_runs(), before);
 }
 
 // A request is kept out. All entries are killed, and one that never saw it is
@@ -117,19 +117,19 @@
   world w{ "anew", 3 };
   end_three(w);
   w.run_for(contact_ms);
-  const auto before = w.fatal_runs();
+  const auto before = w.count_poison_runs();
   for (auto& e : w.entries) {
-    world::end(e);
+    world::kill_entry(e);
   }
   for (auto& e : w.entries) {
     w.start(e);
   }
-  w.wait_ready();
+  w.wait_until_ready();
   for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, fatal)));
+    cr_expect(is_kept_out(w.call(at, poison_body)));
     cr_expect_eq(w.call(at, "other").value.status, 200);
   }
-  cr_expect_eq(w.fatal_runs(), before);
+  cr_expect_eq(w.count_poison_runs(), before);
 }
 
 // The store is away while servers end under a request. The entry that sees it
@@ -145,16 +145,16 @@
                                 : object_store::fault::none;
   };
   while (w.service.ends() < ends_before) {
-    w.wait_servers();
-    w.call(0, fatal);
+    w.wait_for_servers();
+    w.call(0, poison_body);
   }
-  w.wait_servers();
-  cr_expect(is_kept_out(w.call(0, fatal)));
-  const auto before = w.fatal_runs();
+  w.wait_for_servers();
+  cr_expect(is_kept_out(w.call(0, poison_body)));
+  const auto before = w.count_poison_runs();
   is_away = false;
   w.run_for(contact_ms);
-  cr_expect(is_kept_out(w.call(1, fatal)));
-  cr_expect_eq(w.fatal_runs(), before);
+  cr_expect(is_kept_out(w.call(1, poison_body)));
+  cr_expect_eq(w.count_poison_runs(), before);
 }
 
 namespace {
@@ -212,7 +212,7 @@
   // All kinds are served now.
   void expect_served()
   {
-    w.wait_servers();
+    w.wait_for_servers();
     for (std::size_t k = 0; k < kinds; ++k) {
       const auto body = "lookup-" + std::to_string(k);
       cr_expect_eq(w.call(k % w.entries.size(), body).value.status, 200);
@@ -281,6 +281,6 @@
   w.store.put("ended-backends", "b", { { "by", 3 } });
   w.store.put("ended-backends", "c", json::array());
   end_three(w);
-  cr_expect(is_kept_out(w.call(0, fatal)));
+  cr_expect(is_kept_out(w.call(0, poison_body)));
   cr_expect_eq(w.call(0, "other").value.status, 200);
 }
