--- a/cactusford/batches/finish.cc
+++ b/cactusford/batches/finish.cc
@@ -78,8 +78,9 @@
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto v = p.guard->judge(work, quarantine::run_kind::call);
-  return quarantine::has_ends(v) && v.what != quarantine::standing::refused;
+  const auto v = p.guard->evaluate(work, quarantine::run_kind::call);
+  return quarantine::has_crashes(v) &&
+         v.status != quarantine::request_status::quarantined;
 }
 
 // The places that the servers of a route have together.
@@ -90,9 +91,9 @@
   for (const auto& [id, b] : p.registry.all) {
     const bool is_of_it = std::any_of(
       r.services.begin(), r.services.end(), [&b = b](const auto& s) {
-        return s.service == b.said.service;
+        return s.service == b.info.service;
       });
-    places += is_of_it && !b.said.leaving ? b.said.slots : 0;
+    places += is_of_it && !b.info.leaving ? b.info.slots : 0;
   }
   return places;
 }
@@ -139,7 +140,7 @@
   f.route = *route;
   // May be repeated, whatever the route allows to callers.
   f.route.kind = routes::call_kind::idempotent;
-  f.ends_with_a_cut = true;
+  f.no_retry_after_disconnect = true;
   f.request = request_of(call);
   f.request.fields.push_back({ p.dialect.headers.request_id, call.id });
   f.give_up_ms = http::now_ms() + route->timeout_ms;
@@ -205,8 +206,8 @@
     process::log_line(timeline::event{ "item_score_quarantined" }
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
-                        .with("ends", o.ends)
-                        .with("come_back_ms", o.come_back_ms));
+                        .with("ends", o.crashes)
+                        .with("come_back_ms", o.retry_after_ms));
   }
   i.score_again_ms =
     http::now_ms() + (kept_out ? kept_out_look_ms : scorer_pause_ms);
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -60,9 +60,9 @@
 constexpr std::size_t entries_named = 6;
 
 void
-log_life(const backends::life_change& c)
+log_life(const backends::incarnation_change& c)
 {
-  if (c.what != backends::announced::same_life) {
+  if (c.what != backends::announce_result::same_incarnation) {
     process::log_line(timeline::event{ "backend_life" }
                         .with("backend", c.of.id)
                         .with("started_ms", c.of.started_ms)
@@ -146,7 +146,7 @@
   std::uint64_t announced_ms = 0;
   // When a call last found another backend server than it was sent to.
   std::uint64_t misdirected_ms = 0;
-  quarantine::guard guard;
+  quarantine::manager guard;
   forwarder calls;
   usage::meter meter;
   batches::keeper keeper;
@@ -307,8 +307,8 @@
 edge_process::show_guard()
 {
   const auto& c = guard.counts();
-  metrics.set("run_cuts", static_cast<double>(c.cuts));
-  metrics.set("backend_ends", static_cast<double>(c.ends));
+  metrics.set("run_cuts", static_cast<double>(c.connections_lost));
+  metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
   metrics.set("end_reports_known", static_cast<double>(guard.reports()));
@@ -485,7 +485,7 @@
     on_broken_backend({ c.value.name, a.fault });
     return;
   }
-  const backends::life of{ a->id, a->started_ms };
+  const backends::incarnation of{ a->id, a->started_ms };
   log_life({ of, backends::announce(registry, std::move(*a)) });
 }
 
@@ -661,8 +661,8 @@
       .with("status", static_cast<std::uint64_t>(o.answer.status))
       .with("backend", o.backend)
       .with("attempts", o.attempts)
-      .with("ends", o.ends)
-      .with("come_back_ms", o.come_back_ms)
+      .with("ends", o.crashes)
+      .with("come_back_ms", o.retry_after_ms)
       .with("took_ms", took)
       .with("table", table->version));
   switch (o.what) {
@@ -682,7 +682,7 @@
       refuse(c, std::string{ come_back_s });
       return;
     case forward_end::quarantined:
-      refuse(c, whole_seconds(o.come_back_ms));
+      refuse(c, whole_seconds(o.retry_after_ms));
       return;
     case forward_end::unknown:
       c.respond(answer(502));
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -96,7 +96,7 @@
 struct forwarder::attempt
 {
   http::pending sent;
-  backends::life backend;
+  backends::incarnation backend;
   std::string address;
   std::uint64_t at_ms = 0;
   bool ended = false;
@@ -124,7 +124,7 @@
   bool is_trial = false;
   bool is_counted = false;
   // What keeps it out, once it is kept out.
-  quarantine::verdict kept_out;
+  quarantine::decision kept_out;
   bool finished = false;
 
   bool is_repeatable() const
@@ -157,7 +157,7 @@
                      backends::registry& registry,
                      const dialect& d,
                      std::string data_centre,
-                     quarantine::guard* guard)
+                     quarantine::manager* guard)
   : io_{ io }
   , http_{ http }
   , registry_{ registry }
@@ -217,11 +217,12 @@
   };
 }
 
-quarantine::verdict
+quarantine::decision
 forwarder::judge(const flight& f)
 {
-  return guard_ == nullptr ? quarantine::verdict{}
-                           : guard_->judge(f.work, quarantine::run_kind::call);
+  return guard_ == nullptr
+           ? quarantine::decision{}
+           : guard_->evaluate(f.work, quarantine::run_kind::call);
 }
 
 // Without this a request that ends each backend server that runs it takes all
@@ -230,7 +231,7 @@
 // An attempt that is still out decides the call.
 void
 forwarder::keep_out(const std::shared_ptr<flight>& f,
-                    const quarantine::verdict& v)
+                    const quarantine::decision& v)
 {
   f->kept_out = v;
   if (f->has_open_attempt()) {
@@ -248,7 +249,7 @@
     return;
   }
   if (end.state == http::end_state::cut) {
-    guard_->on_cut(a.backend, a.address, f.work);
+    guard_->on_connection_lost(a.backend, a.address, f.work);
   } else if (end.state == http::end_state::complete && end.is_signed &&
              !end.not_run) {
     guard_->on_answered(f.work);
@@ -263,10 +264,10 @@
     return true;
   }
   const auto v = judge(*f);
-  switch (v.what) {
-    case quarantine::standing::clear:
-    case quarantine::standing::suspected:
-      if (!quarantine::has_ends(v) || !f->attempts.empty()) {
+  switch (v.status) {
+    case quarantine::request_status::clear:
+    case quarantine::request_status::suspected:
+      if (!quarantine::has_crashes(v) || !f->attempts.empty()) {
         return true;
       }
       f->is_suspect = true;
@@ -275,14 +276,14 @@
         return false;
       }
       return true;
-    case quarantine::standing::on_trial:
+    case quarantine::request_status::on_trial:
       if (f->attempts.empty()) {
         try_again(f);
       } else {
         keep_out(f, v);
       }
       return false;
-    case quarantine::standing::refused:
+    case quarantine::request_status::quarantined:
       keep_out(f, v);
       return false;
   }
@@ -293,7 +294,7 @@
 bool
 forwarder::is_run_by_another(const flight& f) const
 {
-  return running_.contains(f.work) || guard_->is_looking_at(f.work);
+  return running_.contains(f.work) || guard_->is_probing(f.work);
 }
 
 // A suspect that comes several times at once would end a server each time
@@ -393,7 +394,7 @@
   const auto now = http::now_ms();
   const auto left = f.ask.give_up_ms > now ? f.ask.give_up_ms - now : 1;
   http::set(r.fields, names.deadline_ms, std::to_string(left));
-  http::set(r.fields, names.expected_backend, b.said.id);
+  http::set(r.fields, names.expected_backend, b.info.id);
   return r;
 }
 
@@ -402,16 +403,16 @@
 {
   const auto index = f->attempts.size();
   const auto now = http::now_ms();
-  f->tried.push_back(b.said.id);
+  f->tried.push_back(b.info.id);
   f->attempts.push_back(
-    { {}, backends::life_of(b), b.said.address, now, false });
+    { {}, backends::incarnation_of(b), b.info.address, now, false });
   process::log_line(
     timeline::event{ "call_sent" }
       .with("request", f->ask.id)
       .with("work", f->work)
       .with("route", f->ask.route.name)
-      .with("backend", b.said.id)
-      .with("address", b.said.address)
+      .with("backend", b.info.id)
+      .with("address", b.info.address)
       .with("attempt", f->attempts.size())
       .with("in_flight", b.in_flight)
       .with("others", b.others)
@@ -428,7 +429,7 @@
   o.echo = { dialect_.headers.request_id, f->ask.id };
   o.reset_when_given_up = true;
   f->attempts[index].sent = http_.fetch(
-    b.said.address,
+    b.info.address,
     prepare(*f, b),
     o,
     [this, f, index](http::end_state end, http::response&& r) {
@@ -449,7 +450,7 @@
   f->hedge->async_wait([this, f](asio::error_code ec) {
     // Two attempts of a suspect would end two backend servers at a time.
     if (!ec && !f->finished && f->runs < f->ask.route.max_attempts &&
-        f->tried.size() < max_tries && !quarantine::has_ends(judge(*f)) &&
+        f->tried.size() < max_tries && !quarantine::has_crashes(judge(*f)) &&
         take_second_attempt(second_[f->ask.route.path_prefix])) {
       step(f);
     }
@@ -511,7 +512,8 @@
   f->failed_runs += is_failed_run(ended) ? 1 : 0;
   call_progress progress;
   progress.repeatable = f->is_repeatable();
-  progress.repeatable_after_cut = !f->is_suspect && !f->ask.ends_with_a_cut;
+  progress.repeatable_after_cut =
+    !f->is_suspect && !f->ask.no_retry_after_disconnect;
   progress.runs = f->runs;
   progress.max_runs = std::max<std::uint32_t>(f->ask.route.max_attempts, 1);
   progress.tries = static_cast<std::uint32_t>(f->tried.size());
@@ -596,8 +598,8 @@
   if (what == forward_end::quarantined) {
     const auto wall = timeline::wall_ms();
     const auto until = f->kept_out.until_ms;
-    o.come_back_ms = until > wall ? until - wall : trial_look_ms;
-    o.ends = f->kept_out.ends;
+    o.retry_after_ms = until > wall ? until - wall : trial_look_ms;
+    o.crashes = f->kept_out.ends;
   }
   o.answer = std::move(r);
   o.failed_runs = f->failed_runs;
