--- a/cactusford/batches/engine_usage_reports.cc
+++ b/cactusford/batches/engine_usage_reports.cc
@@ -91,7 +91,7 @@
   }
   const auto now = http::now_ms();
   record_report(impl_->peer_usage, std::move(*report), now);
-  backends::note_told(
+  backends::set_peer_runs(
     impl_->deps.registry, total_runs(impl_->peer_usage, now), now);
   peer.respond(answer(200));
 }
--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -74,7 +74,7 @@
   auto second = fourteen_engines();
   peer_engine_usage usage;
   record_report(usage, { "first", runs_of(first) }, now);
-  backends::note_told(second, total_runs(usage, now), now);
+  backends::set_peer_runs(second, total_runs(usage, now), now);
   cr_assert_eq(place_items(second, 80, now), engines * slots - 60);
   SECTION("no engine has more runs than slots")
   {
@@ -87,7 +87,7 @@
     constexpr std::uint64_t later = now + 2000;
     auto third = fourteen_engines();
     cr_assert(total_runs(usage, later).empty());
-    backends::note_told(third, total_runs(usage, later), later);
+    backends::set_peer_runs(third, total_runs(usage, later), later);
     cr_assert_eq(place_items(third, 100, later), engines * slots);
   }
 }
@@ -99,9 +99,9 @@
 {
   constexpr std::uint64_t now = 10'000;
   auto r = fourteen_engines();
-  backends::note_told(r, { { "e0", 2 } }, now);
+  backends::set_peer_runs(r, { { "e0", 2 } }, now);
   backends::note_load(*backends::find(r, "e0"), { 3, 0, slots }, now);
-  cr_assert_eq(backends::find(r, "e0")->told, 2);
+  cr_assert_eq(backends::find(r, "e0")->peer_runs, 2);
   cr_assert_eq(backends::find(r, "e0")->others, 1);
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
--- a/cactusford/batches/engine_use.cc
+++ b/cactusford/batches/engine_use.cc
@@ -29,15 +29,15 @@
 store::decoded<engine_usage_report>
 decode_engine_usage_report(const nlohmann::json& j)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     engine_usage_report report;
-    report.instance = store::text_field(j, "instance");
+    report.instance = store::string_field(j, "instance");
     const auto& runs = store::field(j, "runs");
     if (!runs.is_object() || runs.size() > max_engines) {
       throw store::field_error{ { "runs", "not an object of runs by engine" } };
     }
     for (const auto& [engine, count] : runs.items()) {
-      const auto n = store::whole_field(runs, engine.c_str());
+      const auto n = store::uint_field(runs, engine.c_str());
       if (n > std::numeric_limits<std::uint32_t>::max()) {
         throw store::field_error{ { engine, "too large" } };
       }
--- a/cactusford/batches/manager.cc
+++ b/cactusford/batches/manager.cc
@@ -208,11 +208,11 @@
   c.name = id;
   deps.store.perform(
     c, [self = shared_from_this(), id, done](store::reply&& r) {
-      if (r.what == store::verdict::done && !r.items.empty()) {
+      if (r.result == store::call_result::done && !r.items.empty()) {
         done(self->apply_stored_batch(r.items.front()), true);
         return;
       }
-      done(self->find_batch(id), r.what == store::verdict::missing);
+      done(self->find_batch(id), r.result == store::call_result::missing);
     });
 }
 
@@ -408,8 +408,8 @@
     self->write_status(
       id,
       [](stored_batch& s) { s.ended = true; },
-      [self, caller, id](store::verdict v) {
-        const bool done = v == store::verdict::done;
+      [self, caller, id](store::call_result v) {
+        const bool done = v == store::call_result::done;
         if (done) {
           self->notify_peer(
             self->find_batch(id)->stored.owner_address, peer_ended_path, id);
@@ -447,7 +447,7 @@
 bool
 manager::can_own() const
 {
-  return !impl_->leaving && !impl_->deps.store.is_cut_off(http::now_ms());
+  return !impl_->leaving && !impl_->deps.store.is_disconnected(http::now_ms());
 }
 
 void
@@ -530,7 +530,7 @@
           s.owner_address = successor.address;
           s.owner_capacity = successor.capacity;
         },
-        [one_done](store::verdict) { one_done(); },
+        [one_done](store::call_result) { one_done(); },
         2);
     };
     impl_->save_progress(*impl_->find_batch(id), hand_over);
--- a/cactusford/batches/manager.h
+++ b/cactusford/batches/manager.h
@@ -58,7 +58,7 @@
     return std::vector<membership::member>{};
   };
   // Null: no item is quarantined.
-  quarantine::guard* guard = nullptr;
+  quarantine::manager* guard = nullptr;
 };
 
 class manager
--- a/cactusford/batches/manager_impl.h
+++ b/cactusford/batches/manager_impl.h
@@ -120,7 +120,7 @@
   void take_over(batch_state& b, std::string_view reason);
   void write_status(const std::string& id,
                     std::function<void(stored_batch&)> change,
-                    std::function<void(store::verdict)> done,
+                    std::function<void(store::call_result)> done,
                     int tries);
 
   void notify_peer(const std::string& address,
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -160,14 +160,14 @@
                          done(false);
                          return;
                        }
-                       if (r.what == store::verdict::done) {
+                       if (r.result == store::call_result::done) {
                          if (current->ledger.chunks == chunk) {
                            self->on_chunk(id, empty);
                          }
                          done(true);
                          return;
                        }
-                       if (r.what == store::verdict::refused) {
+                       if (r.result == store::call_result::refused) {
                          done(false);
                          return;
                        }
@@ -207,9 +207,10 @@
   }
   deps.store.perform(
     c, [self = shared_from_this(), id, first, done](store::reply&& r) {
-      const bool absent = r.what == store::verdict::missing;
+      const bool absent = r.result == store::call_result::missing;
       auto* current = self->find_batch(id);
-      if (current == nullptr || (r.what != store::verdict::done && !absent)) {
+      if (current == nullptr ||
+          (r.result != store::call_result::done && !absent)) {
         done(false);
         return;
       }
@@ -259,18 +260,18 @@
 void
 manager::impl::write_status(const std::string& id,
                             std::function<void(stored_batch&)> change,
-                            std::function<void(store::verdict)> done,
+                            std::function<void(store::call_result)> done,
                             int tries)
 {
   auto* b = find_batch(id);
   if (b == nullptr) {
-    done(store::verdict::missing);
+    done(store::call_result::missing);
     return;
   }
   auto wanted = b->stored;
   change(wanted);
   if (encode_status(wanted) == encode_status(b->stored)) {
-    done(store::verdict::done);
+    done(store::call_result::done);
     return;
   }
   store::call c;
@@ -284,10 +285,11 @@
       for (const auto& o : r.items) {
         self->apply_stored_batch(o);
       }
-      const bool again = r.what == store::verdict::conflict ||
-                         (r.what == store::verdict::unknown && r.items.empty());
+      const bool again =
+        r.result == store::call_result::conflict ||
+        (r.result == store::call_result::unknown && r.items.empty());
       if (!again || tries <= 1) {
-        done(r.what);
+        done(r.result);
         return;
       }
       if (!r.items.empty()) {
@@ -304,10 +306,10 @@
           for (const auto& o : back.items) {
             self->apply_stored_batch(o);
           }
-          if (back.what == store::verdict::done) {
+          if (back.result == store::call_result::done) {
             self->write_status(id, change, done, tries - 1);
           } else {
-            done(back.what);
+            done(back.result);
           }
         });
     });
@@ -426,7 +428,7 @@
     current->confirming_owner = false;
     // Without an answer the owner stays unconfirmed, and the next check asks
     // again.
-    if (r.what == store::verdict::done && !r.items.empty()) {
+    if (r.result == store::call_result::done && !r.items.empty()) {
       current->owner_unconfirmed = false;
       self->apply_stored_batch(r.items.front());
     }
@@ -480,7 +482,7 @@
         s.owner_capacity = self->deps.capacity;
       }
     },
-    [self = shared_from_this(), id, address](store::verdict) {
+    [self = shared_from_this(), id, address](store::call_result) {
       auto* current = self->find_batch(id);
       if (current == nullptr) {
         return;
--- a/cactusford/batches/progress_store.cc
+++ b/cactusford/batches/progress_store.cc
@@ -72,8 +72,10 @@
         // A conflict means that a previous owner created the object; the next
         // write replaces it.
         current->has_stored_progress =
-          (current->has_stored_progress && r.what != store::verdict::missing) ||
-          r.what == store::verdict::done || r.what == store::verdict::conflict;
+          (current->has_stored_progress &&
+           r.result != store::call_result::missing) ||
+          r.result == store::call_result::done ||
+          r.result == store::call_result::conflict;
       }
       done();
     });
@@ -97,7 +99,8 @@
   deps.store.perform(
     c, [self = shared_from_this(), id, done](store::reply&& r) {
       auto* b = self->find_batch(id);
-      if (b != nullptr && r.what == store::verdict::done && !r.items.empty()) {
+      if (b != nullptr && r.result == store::call_result::done &&
+          !r.items.empty()) {
         b->has_stored_progress = true;
         const auto saved = decode_progress(r.items.front().spec);
         std::size_t used = 0;
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -75,7 +75,7 @@
       if (current == nullptr || current->ledger.chunks != chunk) {
         return;
       }
-      if (r.what == store::verdict::done) {
+      if (r.result == store::call_result::done) {
         self->on_chunk(id, written);
         self->write_results_if_due(*current, http::now_ms());
         return;
@@ -86,8 +86,8 @@
         current->complete = false;
         return;
       }
-      if (r.what == store::verdict::conflict ||
-          r.what == store::verdict::unknown) {
+      if (r.result == store::call_result::conflict ||
+          r.result == store::call_result::unknown) {
         self->resolve_unknown_write(id, chunk);
         return;
       }
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -56,9 +56,9 @@
   c.name = chunk_name(id, chunk);
   deps.store.perform(c,
                      [self = shared_from_this(), id, chunk](store::reply&& r) {
-                       if (r.what == store::verdict::done) {
+                       if (r.result == store::call_result::done) {
                          self->remove_chunk(id, chunk + 1);
-                       } else if (r.what == store::verdict::missing) {
+                       } else if (r.result == store::call_result::missing) {
                          self->remove_progress_and_parts(id);
                        } else if (auto* b = self->find_batch(id)) {
                          b->removing = false;
@@ -96,9 +96,9 @@
   deps.store.perform(batch, [self = shared_from_this(), id](store::reply&& r) {
     process::log_line(timeline::event{ "batch_removed" }
                         .with("batch", id)
-                        .with("verdict", store::name_of(r.what)));
-    const bool gone =
-      r.what == store::verdict::done || r.what == store::verdict::missing;
+                        .with("verdict", store::name_of(r.result)));
+    const bool gone = r.result == store::call_result::done ||
+                      r.result == store::call_result::missing;
     if (gone) {
       self->forget(id);
     } else if (auto* b = self->find_batch(id)) {
--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -82,8 +82,9 @@
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto v = deps.guard->judge(work, quarantine::run_kind::call);
-  return quarantine::has_ends(v) && v.what != quarantine::standing::refused;
+  const auto v = deps.guard->evaluate(work, quarantine::run_kind::call);
+  return quarantine::has_crashes(v) &&
+         v.what != quarantine::request_status::quarantined;
 }
 
 // Returns the total number of slots of the route's servers.
@@ -94,9 +95,9 @@
   for (const auto& [id, b] : deps.registry.all) {
     const bool serves_route = std::any_of(
       r.services.begin(), r.services.end(), [&b = b](const auto& s) {
-        return s.service == b.said.service;
+        return s.service == b.info.service;
       });
-    slots += serves_route && !b.said.leaving ? b.said.slots : 0;
+    slots += serves_route && !b.info.leaving ? b.info.slots : 0;
   }
   return slots;
 }
@@ -144,7 +145,7 @@
   // Scorer calls may be repeated even if the route does not allow that to
   // callers.
   f.route.kind = routes::call_kind::idempotent;
-  f.ends_with_a_cut = true;
+  f.no_retry_after_disconnect = true;
   f.request = request_of(call);
   f.request.fields.push_back({ deps.dialect.headers.request_id, call.id });
   f.give_up_ms = http::now_ms() + route->timeout_ms;
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -43,7 +43,7 @@
 
   // The current run.
   std::uint64_t run = 0;
-  backends::life backend;
+  backends::incarnation backend;
   std::string address;
   http::pending pending;
   event_reader reader{ "" };
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -199,8 +199,8 @@
   c.name = part_name(a->id, a->next_part);
   c.body = encode_part(a->parts[a->next_part]);
   deps.store.perform(c, [self = shared_from_this(), a](store::reply&& r) {
-    const bool is_stored =
-      r.what == store::verdict::done || r.what == store::verdict::conflict;
+    const bool is_stored = r.result == store::call_result::done ||
+                           r.result == store::call_result::conflict;
     if (!is_stored) {
       self->retry_acceptance(a, &impl::write_parts);
       return;
@@ -268,10 +268,11 @@
   const std::shared_ptr<pending_submission>& a,
   const store::reply& r)
 {
-  const bool accepted =
-    r.what == store::verdict::done || r.what == store::verdict::conflict;
+  const bool accepted = r.result == store::call_result::done ||
+                        r.result == store::call_result::conflict;
   if (!accepted) {
-    a->write_unknown = a->write_unknown || r.what == store::verdict::unknown;
+    a->write_unknown =
+      a->write_unknown || r.result == store::call_result::unknown;
     retry_acceptance(a, &impl::write_batch_object);
     return;
   }
@@ -279,14 +280,14 @@
     apply_stored_batch(o);
   }
   accepting.erase(a->id);
-  const bool created = r.what == store::verdict::done;
+  const bool created = r.result == store::call_result::done;
   if (auto* b = find_batch(a->id)) {
     own_if_assigned(*b, created && !r.after_unknown && !a->write_unknown);
   }
   process::log_line(timeline::event{ "batch_accepted" }
                       .with("batch", a->id)
                       .with("workspace", a->stored.workspace)
-                      .with("verdict", store::name_of(r.what)));
+                      .with("verdict", store::name_of(r.result)));
   const auto* b = find_batch(a->id);
   a->caller.respond(b == nullptr
                       ? answer(202)
@@ -366,8 +367,8 @@
   c.name = part_name(id, part);
   deps.store.perform(
     c, [self = shared_from_this(), id, part, parts, done](store::reply&& r) {
-      const bool gone =
-        r.what == store::verdict::done || r.what == store::verdict::missing;
+      const bool gone = r.result == store::call_result::done ||
+                        r.result == store::call_result::missing;
       if (gone) {
         self->remove_parts(id, part + 1, parts, done);
       } else {
@@ -408,7 +409,7 @@
       }
       const auto text =
         r.items.empty() ? std::nullopt : decode_part(r.items.front().spec);
-      if (r.what != store::verdict::done || !text) {
+      if (r.result != store::call_result::done || !text) {
         self->finish_submission_read(id, false);
         return;
       }
--- a/cactusford/edge/dialect.h
+++ b/cactusford/edge/dialect.h
@@ -75,7 +75,7 @@
 };
 
 // The weight version that a trainer has named.
-struct named_version
+struct published_version
 {
   std::string model;
   std::uint64_t version = 0;
@@ -125,7 +125,7 @@
 {
   accepted,
   // The weights are loaded already.
-  holds,
+  already_loaded,
   // Another order is in progress, or came in between.
   conflict,
   fenced,
@@ -163,7 +163,7 @@
   std::function<store::decoded<routes::table>(const store::object&)> table_from;
   std::function<store::decoded<backends::announcement>(const store::object&)>
     announcement_from;
-  std::function<store::decoded<named_version>(const store::object&)>
+  std::function<store::decoded<published_version>(const store::object&)>
     version_from;
   std::function<store::decoded<batches::submission>(std::string_view body)>
     submission_from;
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -60,9 +60,9 @@
 constexpr std::size_t entries_named = 6;
 
 void
-log_life(const backends::life_change& c)
+log_life(const backends::incarnation_change& c)
 {
-  if (c.what != backends::announced::same_life) {
+  if (c.what != backends::announce_result::same_incarnation) {
     process::log_line(timeline::event{ "backend_life" }
                         .with("backend", c.of.id)
                         .with("started_ms", c.of.started_ms)
@@ -121,7 +121,7 @@
   void on_configuration(const store::object& o);
   void on_backend_list(std::vector<store::object>&& all);
   void on_backend(store::change&& c);
-  void on_broken_backend(const store::unreadable& u);
+  void on_broken_backend(const store::unreadable_object& u);
   void watch_all();
   void show_views();
   void show_guard();
@@ -146,7 +146,7 @@
   std::uint64_t announced_ms = 0;
   // When a call last found another backend server than it was sent to.
   std::uint64_t misdirected_ms = 0;
-  quarantine::guard guard;
+  quarantine::manager guard;
   forwarder calls;
   usage::meter meter;
   batches::manager batch_manager;
@@ -224,7 +224,7 @@
                    },
                     [this](store::change&& c) { on_backend(std::move(c)); },
                     [this] { batch_manager.on_backends(); },
-                    [this](const store::unreadable& u) {
+                    [this](const store::unreadable_object& u) {
                       on_broken_backend(u);
                     } } }
   , batch_list{ h.io,
@@ -309,8 +309,8 @@
 edge_process::show_guard()
 {
   const auto& c = guard.counts();
-  metrics.set("run_cuts", static_cast<double>(c.cuts));
-  metrics.set("backend_ends", static_cast<double>(c.ends));
+  metrics.set("run_cuts", static_cast<double>(c.connections_lost));
+  metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
   metrics.set("end_reports_known", static_cast<double>(guard.reports()));
@@ -451,7 +451,7 @@
 // An entry that can't be read names no backend server, and what it announced
 // before stands no longer: it may have been written over.
 void
-edge_process::on_broken_backend(const store::unreadable& u)
+edge_process::on_broken_backend(const store::unreadable_object& u)
 {
   store::log_unreadable(d.kinds.backends, u);
   backends::drop(registry, u.name);
@@ -487,7 +487,7 @@
     on_broken_backend({ c.value.name, a.fault });
     return;
   }
-  const backends::life of{ a->id, a->started_ms };
+  const backends::incarnation of{ a->id, a->started_ms };
   log_life({ of, backends::announce(registry, std::move(*a)) });
 }
 
@@ -663,8 +663,8 @@
       .with("status", static_cast<std::uint64_t>(o.answer.status))
       .with("backend", o.backend)
       .with("attempts", o.attempts)
-      .with("ends", o.ends)
-      .with("come_back_ms", o.come_back_ms)
+      .with("ends", o.crashes)
+      .with("come_back_ms", o.retry_after_ms)
       .with("took_ms", took)
       .with("table", table->version));
   switch (o.what) {
@@ -684,7 +684,7 @@
       refuse(c, std::string{ come_back_s });
       return;
     case forward_end::quarantined:
-      refuse(c, whole_seconds(o.come_back_ms));
+      refuse(c, whole_seconds(o.retry_after_ms));
       return;
     case forward_end::unknown:
       c.respond(answer(502));
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -5,7 +5,7 @@
 #include "cactusford/edge/dialect.h"
 #include "cactusford/edge/second_attempt.h"
 #include "cactusford/http/client.h"
-#include "cactusford/quarantine/guard.h"
+#include "cactusford/quarantine/manager.h"
 
 #include <asio/io_context.hpp>
 
@@ -29,7 +29,7 @@
   std::uint64_t give_up_ms = 0;
   // After an attempt whose connection was cut it is for the asker to try again,
   // as nobody waits for the answer.
-  bool ends_with_a_cut = false;
+  bool no_retry_after_disconnect = false;
 };
 
 enum class forward_end
@@ -61,8 +61,8 @@
   std::string backend;
   // For `quarantined`: in how many milliseconds it may be tried again, and how
   // many backend servers have ended under it.
-  std::uint64_t come_back_ms = 0;
-  std::uint32_t ends = 0;
+  std::uint64_t retry_after_ms = 0;
+  std::uint32_t crashes = 0;
 };
 
 // What an attempt's end means for the call. Pure.
@@ -110,7 +110,7 @@
             backends::registry& registry,
             const dialect& d,
             std::string data_centre,
-            quarantine::guard* guard = nullptr);
+            quarantine::manager* guard = nullptr);
 
   using handler = std::function<void(forward_outcome&&)>;
 
@@ -130,14 +130,15 @@
   struct flight;
   struct attempt;
   void step(const std::shared_ptr<flight>& f);
-  quarantine::verdict judge(const flight& f);
+  quarantine::decision judge(const flight& f);
   bool may_send(const std::shared_ptr<flight>& f);
   bool is_run_by_another(const flight& f) const;
   void wait_and_step(const std::shared_ptr<flight>& f);
   backends::backend* end_attempt(const flight& f, attempt& a);
   void note_begun(flight& f);
   void try_again(const std::shared_ptr<flight>& f);
-  void keep_out(const std::shared_ptr<flight>& f, const quarantine::verdict& v);
+  void keep_out(const std::shared_ptr<flight>& f,
+                const quarantine::decision& v);
   void tell_guard(const flight& f, const attempt& a, const attempt_end& end);
   void send(const std::shared_ptr<flight>& f, backends::backend& b);
   void hedge_later(const std::shared_ptr<flight>& f);
@@ -159,7 +160,7 @@
   const dialect& dialect_;
   std::string data_centre_;
   // Null: no request is kept out.
-  quarantine::guard* guard_;
+  quarantine::manager* guard_;
   // By the path of the route: calls of one kind take about the same time.
   std::map<std::string, second_attempts> second_;
   // Attempts under way of each work.
--- a/cactusford/edge/side.cc
+++ b/cactusford/edge/side.cc
@@ -30,7 +30,7 @@
 } // namespace
 
 int
-run_side(const std::string& path, const hosted_settings& s, const dialect& d)
+run_sidecar(const std::string& path, const hosted_settings& s, const dialect& d)
 {
   host h{ path, s };
   http::client http{ h.io };
@@ -90,7 +90,7 @@
     store.perform(c, [name = o.name](store::reply&& r) {
       process::log_line(timeline::event{ "emptied" }
                           .with("instance", name)
-                          .with("verdict", store::name_of(r.what)));
+                          .with("verdict", store::name_of(r.result)));
     });
   };
   // Nothing here is urgent: the longest wait that the store allows.
--- a/cactusford/orders/loader.h
+++ b/cactusford/orders/loader.h
@@ -31,7 +31,7 @@
 
   // A trainer has named a version; `revision` is that of the object that
   // names it.
-  void on_named(const edge::named_version& v, std::uint64_t revision);
+  void on_named(const edge::published_version& v, std::uint64_t revision);
 
   // Where the engine stands among the others, as far as anybody has counted.
   void stand_at(const place& p);
@@ -46,7 +46,7 @@
   void look();
   void note_up(bool is_up,
                http::end_state end,
-               const store::shape_fault& fault);
+               const store::decode_error& fault);
   bool take_life(const edge::engine_report& r);
   void on_report(const edge::engine_report& r);
   void note_versions(const edge::engine_report& r);
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -103,7 +103,7 @@
   cluster.engine.events = 3;
   cluster.engine.gap_ms = 20;
   // One group after the other.
-  backends::find(cluster.entries[0]->registry, "e1")->said.slots = 2;
+  backends::find(cluster.entries[0]->registry, "e1")->info.slots = 2;
   cluster.call(*cluster.entries[0], "POST", step.dump());
   const auto all = cluster.read_all(*cluster.entries[0], items);
   check_results(all, cluster.engine);
@@ -621,7 +621,7 @@
      },
       [&](store::change&& c) { shown.insert(c.value.name); },
       {},
-      [&](const store::unreadable& u) { broken.insert(u.name); } }
+      [&](const store::unreadable_object& u) { broken.insert(u.name); } }
   };
   things.start();
   cluster.run_until([&] { return things.is_current(); });
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -64,7 +64,7 @@
   http::server front;
   store::client store;
   // Started only by the tests that need it.
-  quarantine::guard guard;
+  quarantine::manager guard;
   edge::forwarder forwarder;
   std::unique_ptr<batches::manager> batch_manager;
   std::unique_ptr<store::watcher> watcher;
