--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -16,11 +16,11 @@
 // Engines that are replaced as they end.
 struct pool
 {
-  world& w;
+  batch_cluster& w;
   std::vector<std::unique_ptr<stream_engine>> all;
   std::string fatal_body;
 
-  pool(world& of, std::size_t engines, std::string fatal)
+  pool(batch_cluster& of, std::size_t engines, std::string fatal)
     : w{ of }
     , fatal_body{ std::move(fatal) }
   {
@@ -83,7 +83,7 @@
 
 // The engine and the entries that know it from the start do not take part.
 void
-withdraw_first_engine(world& w)
+withdraw_first_engine(batch_cluster& w)
 {
   for (const auto& e : w.entries) {
     backends::drop(e->registry, "e1");
@@ -99,7 +99,7 @@
 // whole.
 Test(quarantine, an_item_that_ends_engines_waits, .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
@@ -128,7 +128,7 @@
 // them, and the step is whole at last.
 Test(quarantine, items_that_die_with_their_engines_go_on, .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
@@ -164,7 +164,7 @@
      a_scorers_call_that_ends_servers_is_not_made_again,
      .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   auto& e = *w.entries[0];
   backends::drop(e.registry, "s1");
   e.guard.start();
