--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -35,7 +35,7 @@
     all.push_back(std::make_unique<stream_engine>(w.io, id));
     all.back()->fatal_body = fatal_body;
     for (const auto& e : w.entries) {
-      e->know(id, "engines", all.back()->address(), 1);
+      e->announce_backend(id, "engines", all.back()->address(), 1);
     }
   }
 
