--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -150,7 +150,7 @@
     engines.add();
     slow_down();
   }
-  const auto all = w.read_whole(e, 6);
+  const auto all = w.read_all(e, 6);
   for (const auto& r : all) {
     cr_assert(r.at("done").get<bool>());
   }
