--- a/cactusford/routes/table-test.cc
+++ b/cactusford/routes/table-test.cc
@@ -21,7 +21,7 @@
 
 } // namespace
 
-Test(routes, takes_the_longest_prefix_of_the_host)
+Test(routes, matches_the_longest_prefix_of_the_host)
 {
   table t;
   t.routes = { route_of("short", "/a/"), route_of("long", "/a/b/") };
@@ -31,7 +31,7 @@
   cr_assert_null(match(t, "other", "/a/x"));
 }
 
-Test(routes, splits_by_weight)
+Test(routes, splits_calls_by_weight)
 {
   auto r = route_of("r", "/");
   r.services = { { "x", 90 }, { "y", 10 } };
--- a/cactusford/routes/table.cc
+++ b/cactusford/routes/table.cc
@@ -20,14 +20,14 @@
 std::string
 pick_service(const route& r, double random)
 {
-  double sum = 0;
+  double total_weight = 0;
   for (const auto& s : r.services) {
-    sum += s.weight;
+    total_weight += s.weight;
   }
-  double at = random * sum;
+  double remaining = random * total_weight;
   for (const auto& s : r.services) {
-    at -= s.weight;
-    if (at < 0) {
+    remaining -= s.weight;
+    if (remaining < 0) {
       return s.service;
     }
   }
--- a/cactusford/routes/table.h
+++ b/cactusford/routes/table.h
@@ -1,4 +1,5 @@
-// Routes and services that are in force: one immutable table a version.
+// Routing table: the routes, services and workspaces in force. Each version of
+// the configuration gives one immutable table.
 #pragma once
 
 #include "cactusford/http/server.h"
@@ -20,9 +21,10 @@
   idempotent,
   // Runs at most once.
   non_idempotent,
-  // The answer is a stream of events; runs at most once unless resumable.
+  // The response is an event stream; runs at most once unless the route is
+  // resumable.
   streaming,
-  // Takes batches of items for a trainer.
+  // Accepts batches of items from a trainer.
   rollout,
 };
 
@@ -43,20 +45,20 @@
   std::string path_prefix;
   call_kind kind = call_kind::non_idempotent;
   std::vector<weighted_service> services;
-  // Longest time that a caller is kept waiting.
+  // Upper bound on the time to answer a caller.
   std::uint64_t timeout_ms = 10000;
-  // Time within which an answer has its full value.
+  // Latency objective of an answer.
   std::uint64_t objective_ms = 0;
-  // Backend servers that one request may be sent to.
+  // Maximum number of backend servers that may run one request.
   std::uint32_t max_attempts = 1;
   std::uint32_t priority = 0;
   bool resumable = false;
-  // Callers need no key.
+  // Callers need no API key.
   bool is_public = false;
-  // Batches: all text of a result under one weight version.
+  // Batches: the whole text of a result must come from one weight version.
   bool single_version = false;
-  // Batches: results are due this long after acceptance; an item may be given
-  // up after the second.
+  // Batches: results are due `due_ms` after acceptance; after `give_up_ms` an
+  // item may be given up.
   std::uint64_t due_ms = 0;
   std::uint64_t give_up_ms = 0;
 
@@ -68,7 +70,7 @@
   std::string name;
   std::string health_path;
   std::uint32_t max_connections = 0;
-  // Requests that an engine runs at once; 0 for a plain service.
+  // Number of requests that an engine runs concurrently; 0 for a plain service.
   std::uint32_t engine_slots = 0;
 
   friend bool operator==(const service&, const service&) = default;
@@ -80,7 +82,7 @@
   std::vector<route> routes;
   std::map<std::string, service> services;
   http::server_limits limits;
-  // Absent: none are declared, and no call needs a key.
+  // Absent if no workspaces are declared; then no call needs a key.
   std::optional<workspaces::directory> workspaces;
 
   friend bool operator==(const table&, const table&) = default;
@@ -88,12 +90,13 @@
 
 using table_ptr = std::shared_ptr<const table>;
 
-// The route of that host with the longest prefix of the path; null if none.
+// The route of the host whose prefix is the longest that matches the path; null
+// if none matches.
 const route*
 match(const table& t, std::string_view host, std::string_view path);
 
-// One of the route's services by weight; `random` is uniform in 0 to 1. Empty
-// without services.
+// Picks one of the route's services in proportion to the weights; `random` is
+// uniformly distributed in [0, 1]. Empty if the route has no services.
 std::string
 pick_service(const route& r, double random);
 
--- a/cactusford/weights/machine.h
+++ b/cactusford/weights/machine.h
@@ -1,5 +1,6 @@
-// What a sidecar does to bring its engine to the wanted weight version. Pure;
-// times are milliseconds of a steady clock. See docs/WEIGHTS.md.
+// State machine with which a sidecar brings its engine to the target weight
+// version. Pure functions; times are milliseconds of a steady clock. See
+// docs/WEIGHTS.md.
 #pragma once
 
 #include "cactusford/engine/client.h"
@@ -11,7 +12,7 @@
 
 enum class phase
 {
-  // What the engine holds is not known: read back before anything else.
+  // The engine's versions are unknown; they must be read back before any order.
   unknown,
   idle,
   reading,
@@ -23,20 +24,22 @@
 struct weight_state
 {
   std::string model;
-  phase now = phase::unknown;
+  phase current_phase = phase::unknown;
   std::uint64_t target_version = 0;
-  // Configuration version of the wanted weights; the fencing number of orders.
+  // Configuration version that declares the target; orders to the engine carry
+  // it as their fencing token.
   std::uint64_t fence = 0;
   std::uint64_t active = 0;
   std::uint64_t staged = 0;
-  // Counts the beginnings and ends of swaps: tokens from an engine that names
-  // no version are attributed only while this stands still.
+  // Incremented when a swap starts and when it ends. Tokens from an engine that
+  // reports no version are attributed to a version only if the epoch did not
+  // change meanwhile.
   std::uint64_t swap_epoch = 0;
   std::uint32_t failures = 0;
-  // No order before this time.
-  std::uint64_t not_before_ms = 0;
-  // A swap waits until its wave, so that not all engines pause at once.
-  std::uint64_t swap_not_before_ms = 0;
+  // No action starts before this time (backoff after a failure).
+  std::uint64_t retry_not_before_ms = 0;
+  // Engines swap in waves so that they do not all pause at once.
+  std::uint64_t earliest_swap_ms = 0;
 
   friend bool operator==(const weight_state&, const weight_state&) = default;
 };
@@ -49,14 +52,14 @@
   swap,
 };
 
-// Takes a newer wish. An older fence is ignored.
+// Sets the target version. Ignored unless `fence` is higher than the last one.
 void
 set_target(weight_state& m,
            std::uint64_t version,
            std::uint64_t fence,
-           std::uint64_t swap_not_before_ms);
+           std::uint64_t earliest_swap_ms);
 
-// The next step, which the machine notes as begun.
+// Returns the next action and changes the state as if it had started.
 action
 next_action(weight_state& m, std::uint64_t now_ms);
 
@@ -72,11 +75,13 @@
          const failure& f,
          std::uint64_t now_ms);
 
-// The version that may be named for new work, 0 when none may.
+// The version that new work is attributed to; 0 while it is not known.
 std::uint64_t
 serving_version(const weight_state& m);
 
-// Position of an instance among `count` of its pool -> delay of its swap.
+// Delay of the swap for the instance at `position` among the `count` instances
+// of its pool. Each wave swaps at most `max_swapping_share` of them, and at
+// least one.
 std::uint64_t
 wave_delay_ms(std::size_t position,
               std::size_t count,
--- a/cactusford/workspaces/directory-test.cc
+++ b/cactusford/workspaces/directory-test.cc
@@ -19,9 +19,9 @@
 
 } // namespace
 
-// An operator adds a second key, callers move to it, and the first is taken
-// away: in between both name the same workspace.
-Test(workspaces, any_of_its_keys_names_a_workspace)
+// During key rotation a workspace has two keys: the operator adds the new one,
+// callers move to it, and the old one is removed. Both must work meanwhile.
+Test(workspaces, finds_a_workspace_by_any_of_its_keys)
 {
   const auto d = two_workspaces();
   cr_assert_eq(find_workspace(d, "key-one")->name, "planning");
@@ -36,7 +36,7 @@
   }
 }
 
-Test(workspaces, reads_the_key_of_a_bearer)
+Test(workspaces, reads_the_key_of_a_bearer_header)
 {
   cr_assert_eq(*bearer_key("Bearer abc"), "abc");
   cr_assert_eq(*bearer_key("bearer   abc "), "abc");
@@ -45,26 +45,26 @@
   }
 }
 
-Test(workspaces, a_digest_in_a_line_does_not_tell_the_key)
+Test(workspaces, short_digest_does_not_reveal_the_key)
 {
   cr_assert_eq(short_digest("key-one").size(), 8);
   cr_assert_eq(short_digest("key-one"), short_digest("key-one"));
   cr_assert_neq(short_digest("key-one"), short_digest("key-two"));
 }
 
-// Each call looks its key up, at entries with a tenth of a core.
+// Each call looks up its key, also at entries that have a tenth of a core.
 Test(workspaces, finds_one_key_among_thirty_thousand)
 {
   directory::builder b;
-  constexpr int many = 10'000;
-  constexpr int keys = 3;
-  for (int i = 0; i < many; ++i) {
+  constexpr int workspace_count = 10'000;
+  constexpr int keys_each = 3;
+  for (int i = 0; i < workspace_count; ++i) {
     b.workspace("w" + std::to_string(i), std::nullopt);
-    for (int k = 0; k < keys; ++k) {
+    for (int k = 0; k < keys_each; ++k) {
       b.key("key-" + std::to_string(i) + "-" + std::to_string(k));
     }
   }
   const auto d = b.build();
-  cr_assert_eq(d.by_key.size(), many * keys);
+  cr_assert_eq(d.by_key.size(), workspace_count * keys_each);
   cr_assert_eq(find_workspace(d, "key-1234-2")->name, "w1234");
 }
--- a/cactusford/workspaces/directory.cc
+++ b/cactusford/workspaces/directory.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-// Drawn at the start: without it a caller could compute keys whose digests meet
-// in one bucket, or that of a key it has seen the digest of.
+// Random per process. With a known seed a caller could compute keys whose
+// digests collide in one bucket, or a key that matches a digest it has seen.
 std::uint64_t
-secret_seed()
+process_hash_seed()
 {
   static const auto seed = [] {
     std::random_device device;
@@ -30,7 +30,7 @@
 digest_of(std::string_view key)
 {
   const auto hash =
-    XXH3_128bits_withSeed(key.data(), key.size(), secret_seed());
+    XXH3_128bits_withSeed(key.data(), key.size(), process_hash_seed());
   return { hash.high64, hash.low64 };
 }
 
@@ -40,21 +40,21 @@
 directory::builder::workspace(std::string name,
                               std::optional<std::uint32_t> priority)
 {
-  made_.all.push_back({ std::move(name), priority });
+  result_.all.push_back({ std::move(name), priority });
   return *this;
 }
 
 directory::builder&
 directory::builder::key(std::string_view key)
 {
-  made_.by_key[digest_of(key)] = made_.all.size() - 1;
+  result_.by_key[digest_of(key)] = result_.all.size() - 1;
   return *this;
 }
 
 directory
 directory::builder::build()
 {
-  return std::move(made_);
+  return std::move(result_);
 }
 
 const workspace*
--- a/cactusford/workspaces/directory.h
+++ b/cactusford/workspaces/directory.h
@@ -1,8 +1,8 @@
-// Workspaces, and the keys by which their callers are known. Pure.
+// Workspaces and the API keys that authenticate their callers. Pure.
 //
-// A directory is part of the table of routes: a route and the keys that may use
-// it come into force together. It holds digests in place of keys, so that no
-// dump of it shows one.
+// The directory is part of the routing table, so that a route and the keys that
+// may use it take effect together. It stores digests instead of keys, so that a
+// memory or debug dump of it reveals no key.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 constexpr std::string_view authorization_header = "Authorization";
 
-// Means the same key only within one process.
+// Seeded per process: digests of different processes cannot be compared.
 struct key_digest
 {
   std::uint64_t high = 0;
@@ -34,7 +34,7 @@
 struct workspace
 {
   std::string name;
-  // Goes before the priority of the route that is called.
+  // Overrides the priority of the called route.
   std::optional<std::uint32_t> priority;
 
   friend bool operator==(const workspace&, const workspace&) = default;
@@ -45,7 +45,7 @@
   class builder;
 
   std::vector<workspace> all;
-  // Position in `all`.
+  // Index into `all`.
   std::unordered_map<key_digest, std::size_t, key_digest_hash> by_key;
 
   friend bool operator==(const directory&, const directory&) = default;
@@ -54,25 +54,26 @@
 class directory::builder
 {
 public:
-  // Keys that follow are those of this workspace.
+  // Starts a workspace; the following calls of `key` add keys to it.
   builder& workspace(std::string name, std::optional<std::uint32_t> priority);
   builder& key(std::string_view key);
   directory build();
 
 private:
-  directory made_;
+  directory result_;
 };
 
-// The workspace that holds the key; null if none does.
+// The workspace that the key belongs to; null if the key is unknown.
 const workspace*
 find_workspace(const directory& d, std::string_view key);
 
-// The key of an Authorization header of the scheme "Bearer".
+// Extracts the key from the value of an Authorization header; nothing unless
+// its scheme is "Bearer".
 std::optional<std::string_view>
 bearer_key(std::string_view authorization) noexcept;
 
-// Names a key in a log line without telling it: eight hexadecimal digits, the
-// same at all instances.
+// Identifies a key in log lines without revealing it: eight hexadecimal digits,
+// equal on all instances.
 std::string
 short_digest(std::string_view key);
 
