--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -69,7 +69,7 @@
 next_step
 after_attempt(const attempt_end& end, const call_progress& p)
 {
-  const bool may_contact_another = p.contacted < max_contacted;
+  const bool may_contact_another = p.contacted_count < max_contacted;
   const bool complete = end.state == http::end_state::complete;
   if (end.state == http::end_state::not_sent || (complete && end.not_run)) {
     if (may_contact_another) {
@@ -293,7 +293,7 @@
       return true;
     case quarantine::standing::on_trial:
       if (call->attempts.empty()) {
-        claim_trial(call);
+        start_trial(call);
       } else {
         refuse_quarantined(call, v);
       }
@@ -361,7 +361,7 @@
 }
 
 void
-forwarder::claim_trial(const std::shared_ptr<call_state>& call)
+forwarder::start_trial(const std::shared_ptr<call_state>& call)
 {
   guard_->claim_trial(call->fingerprint, [this, call](bool is_granted) {
     if (call->finished) {
@@ -545,7 +545,7 @@
   progress.runs = call->runs;
   progress.max_runs =
     std::max<std::uint32_t>(call->input.route.max_attempts, 1);
-  progress.contacted = static_cast<std::uint32_t>(call->contacted.size());
+  progress.contacted_count = static_cast<std::uint32_t>(call->contacted.size());
   switch (after_attempt(ended, progress)) {
     case next_step::deliver:
       finish(call, forward_end::answered, std::move(r));
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -89,7 +89,7 @@
   // Backend servers that may have run the call, including this attempt's.
   std::uint32_t runs = 0;
   std::uint32_t max_runs = 1;
-  std::uint32_t contacted = 0;
+  std::uint32_t contacted_count = 0;
   // False: no further attempt after one has lost its connection.
   bool repeatable_after_cut = true;
 };
@@ -138,7 +138,7 @@
   void wait_for_unresolved_run(const std::shared_ptr<call_state>& call);
   backends::backend* close_attempt(const call_state& call, attempt& a);
   void report_run_started(call_state& call);
-  void claim_trial(const std::shared_ptr<call_state>& call);
+  void start_trial(const std::shared_ptr<call_state>& call);
   void refuse_quarantined(const std::shared_ptr<call_state>& call,
                           const quarantine::verdict& v);
   void report_to_quarantine(const call_state& call,
--- a/cactusford/edge/second_attempt.cc
+++ b/cactusford/edge/second_attempt.cc
@@ -43,15 +43,13 @@
   if (s.answer_count < min_samples) {
     return initial_delay_ms;
   }
-  auto latencies_ms = s.latencies_ms;
+  auto samples = s.latencies_ms;
   const auto count = std::min(s.answer_count, second_attempts::sample_count);
   const auto at =
     static_cast<std::size_t>(quantile * static_cast<double>(count));
-  std::nth_element(latencies_ms.begin(),
-                   latencies_ms.begin() + at,
-                   latencies_ms.begin() + count);
-  const auto delay =
-    static_cast<std::uint64_t>(quantile_factor * latencies_ms[at]);
+  std::nth_element(
+    samples.begin(), samples.begin() + at, samples.begin() + count);
+  const auto delay = static_cast<std::uint64_t>(quantile_factor * samples[at]);
   return std::clamp(delay, min_delay_ms, max_delay_ms);
 }
 
