--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -42,8 +42,8 @@
   while (state.KeepRunning()) {
     key = key * 6364136223846793005ULL + 1;
     const auto chosen = routing::choose(pool, key, {}, {}, ++now);
-    routing::sent(pool, *chosen);
-    routing::returned(pool, *chosen);
+    routing::note_sent(pool, *chosen);
+    routing::note_returned(pool, *chosen);
     benchmark::DoNotOptimize(chosen);
   }
   state.counters["bytes"] = static_cast<double>(
@@ -138,7 +138,7 @@
       q, { id, admission::call_class::rollout, flow(), 0.1, id % 700 });
     const auto c = admission::pop_rollout(q);
     admission::charge(q, c->flow, 200);
-    admission::finished(q, c->flow);
+    admission::note_finished(q, c->flow);
   }
 }
 BENCHMARK(queue_and_pop)->Arg(1)->Arg(7);
@@ -146,17 +146,17 @@
 void
 admit_key(benchmark::State& state)
 {
-  calls::record r;
+  calls::idempotency_record r;
   r.limits.max_entries = 2'000'000;
   r.limits.max_bytes = 1U << 30;
   const auto answer =
-    std::make_shared<const calls::kept_answer>(calls::kept_answer{});
+    std::make_shared<const calls::stored_answer>(calls::stored_answer{});
   std::uint64_t id = 0;
   constexpr std::uint64_t now = 10'000'000;
   while (state.KeepRunning()) {
     const auto key = "01a23817-13cf-79fb-b1b5-" + std::to_string(++id);
     calls::admit(r, { key, now, 1 }, now);
-    calls::answered(r, key, answer);
+    calls::store_answer(r, key, answer);
     if (r.entries.size() > 100000) {
       state.PauseTiming();
       r.entries.clear();
--- /dev/null
+++ b/cactusford/batches/manager.cc
@@ -0,0 +1,541 @@
+#include "cactusford/batches/manager_impl.h"
+#include "cactusford/http/socket.h"
+#include "cactusford/process/line_log.h"
+#include "cactusford/timeline/clock.h"
+
+#include <algorithm>
+
+namespace cactusford::batches {
+
+namespace {
+
+// Interval of the periodic check of runs, owners and writes, in milliseconds.
+constexpr std::uint64_t tick_ms = 100;
+
+// An owner that has not answered for this long, which is four probes, is
+// presumed dead. A mistaken takeover costs only duplicate runs.
+constexpr std::uint64_t silent_owner_timeout_ms = 1300;
+
+// An owner that refuses connections has crashed. It may restart at once, but
+// then has lost its in-memory state.
+constexpr std::uint64_t refused_owner_timeout_ms = 500;
+
+// A takeover requires a write to the store, so an instance starts one only if
+// it has had an answer from the store within this time. Watches bring an answer
+// every second. While the store is unavailable to everyone, batches stay with
+// their owners, whose memory holds the most recent text.
+constexpr std::uint64_t store_answer_max_age_ms = 1300;
+
+// Takeovers by several instances are spread over this time, so that the first
+// write succeeds before the others are attempted.
+constexpr std::uint64_t takeover_spread_ms = 300;
+
+} // namespace
+
+http::response
+answer(int status, std::string body)
+{
+  http::response r;
+  r.status = status;
+  if (!body.empty()) {
+    r.fields.push_back({ "Content-Type", "application/json" });
+  }
+  r.body = std::move(body);
+  return r;
+}
+
+http::response
+retry_later(const edge::dialect& d)
+{
+  auto r = answer(503);
+  r.fields.push_back({ d.headers.retry_after, std::string{ retry_after_s } });
+  return r;
+}
+
+bool
+is_accessible_to(const stored_batch& b, const std::string& workspace)
+{
+  return b.workspace.empty() || b.workspace == workspace;
+}
+
+batch_state*
+manager::impl::find_batch(const std::string& id)
+{
+  const auto found = batches.find(id);
+  return found == batches.end() ? nullptr : found->second.get();
+}
+
+batch_state*
+manager::impl::apply_stored_batch(const store::object& o)
+{
+  auto s = decode_batch(o.name, o.revision, o.spec, o.status);
+  if (!s) {
+    store::log_unreadable(batch_kind, { o.name, s.fault });
+    return nullptr;
+  }
+  if (auto* b = find_batch(o.name)) {
+    update(*b, std::move(*s));
+    return b;
+  }
+  auto fresh = std::make_unique<batch_state>();
+  auto* b = fresh.get();
+  batches.emplace(o.name, std::move(fresh));
+  b->stored = std::move(*s);
+  b->owner_since_ms = http::now_ms();
+  b->due_ms = due_of(*b);
+  add_owner_as_relay(*b);
+  const auto being_accepted = accepting.find(o.name);
+  if (being_accepted != accepting.end()) {
+    b->set(std::move(being_accepted->second->submission),
+           deps.dialect.version_line);
+  }
+  own_if_assigned(*b, false);
+  return b;
+}
+
+// An instance that owns batches may relay this instance's calls to the store.
+void
+manager::impl::add_owner_as_relay(const batch_state& b)
+{
+  const auto& address = b.stored.owner_address;
+  if (b.is_open() && !address.empty() && address != deps.address) {
+    deps.store.learn_relay(address);
+  }
+}
+
+// Starts running the batch if the store lists this instance as its owner. A
+// batch that is still being accepted starts when its write is acknowledged,
+// because only then is it known to have no listed results.
+void
+manager::impl::own_if_assigned(batch_state& b, bool is_fresh)
+{
+  const bool ours = b.is_open() && b.stored.owner == deps.instance;
+  if (ours && !b.owned && !accepting.contains(b.stored.id)) {
+    take_ownership(b, is_fresh);
+  }
+}
+
+// Returns the matching route of the current table. The pointer keeps that table
+// alive, so the route does not change while it is held.
+std::shared_ptr<const routes::route>
+manager::impl::route_to(const std::string& host, const std::string& path) const
+{
+  const auto table = deps.table();
+  const auto* route = table ? routes::match(*table, host, path) : nullptr;
+  return { table, route };
+}
+
+// Returns the time when the results are due, on the steady clock. The age of
+// the batch is capped because the clocks of instances differ.
+std::uint64_t
+manager::impl::due_of(const batch_state& b) const
+{
+  constexpr std::uint64_t longest_age_ms = 60000;
+  const auto wall = timeline::wall_ms();
+  const auto accepted = b.stored.accepted_wall_ms;
+  const auto age =
+    std::min(wall > accepted ? wall - accepted : 0, longest_age_ms);
+  const auto route = route_to(b.stored.host, b.stored.target);
+  const auto due = route == nullptr ? 0 : route->due_ms;
+  return http::now_ms() + due - std::min(age, http::now_ms());
+}
+
+void
+manager::impl::update(batch_state& b, stored_batch&& s)
+{
+  if (s.revision <= b.stored.revision) {
+    return;
+  }
+  const bool was_ended = b.stored.ended;
+  const bool new_owner = s.owner != b.stored.owner;
+  b.stored = std::move(s);
+  if (new_owner) {
+    b.owner_since_ms = http::now_ms();
+    add_owner_as_relay(b);
+    process::log_line(timeline::event{ "batch_owner" }
+                        .with("batch", b.stored.id)
+                        .with("owner", b.stored.owner)
+                        .with("revision", b.stored.revision));
+  }
+  if (b.stored.ended && !was_ended) {
+    process::log_line(timeline::event{ "batch_ended" }
+                        .with("batch", b.stored.id)
+                        .with("listed", b.ledger.listed.size()));
+    close(b);
+  } else if (b.owned && b.stored.owner != deps.instance) {
+    drop_ownership(b, "other_owner");
+  } else {
+    own_if_assigned(b, false);
+  }
+}
+
+// Stops the work on a batch that has ended. Its texts may be reused in a later
+// batch.
+void
+manager::impl::close(batch_state& b)
+{
+  save_texts_for_reuse(b);
+  drop_ownership(b, "ended");
+  if (b.submission_waiters.empty()) {
+    b.drop_submission();
+  }
+}
+
+void
+manager::impl::forget(const std::string& id)
+{
+  if (auto* b = find_batch(id)) {
+    drop_ownership(*b, "removed");
+    finish_submission_read(id, false);
+    batches.erase(id);
+  }
+}
+
+// Finds a batch in memory or, if the watch has not shown it yet, in the store.
+// The second argument of `done` is false if the store did not answer; only then
+// may a batch that was not found exist.
+void
+manager::impl::lookup(const std::string& id,
+                      std::function<void(batch_state*, bool)> done)
+{
+  if (auto* b = find_batch(id)) {
+    done(b, true);
+    return;
+  }
+  store::call c;
+  c.op = store::operation::get;
+  c.kind = batch_kind;
+  c.name = id;
+  deps.store.perform(
+    c, [self = shared_from_this(), id, done](store::reply&& r) {
+      if (r.result == store::call_result::done && !r.items.empty()) {
+        done(self->apply_stored_batch(r.items.front()), true);
+        return;
+      }
+      done(self->find_batch(id), r.result == store::call_result::missing);
+    });
+}
+
+// Returns the reason to take the batch over, or nothing while its owner is
+// believed to be alive.
+std::optional<std::string_view>
+manager::impl::takeover_reason(const batch_state& b, std::uint64_t now)
+{
+  const auto spread =
+    std::hash<std::string>{}(deps.instance + b.stored.id) % takeover_spread_ms;
+  if (b.stored.owner.empty()) {
+    return now - b.owner_since_ms > spread
+             ? std::optional<std::string_view>{ "released" }
+             : std::nullopt;
+  }
+  const auto& address = b.stored.owner_address;
+  // An owner that answers but reports that it cannot reach the store is either
+  // cut off alone or affected by an outage for everyone. Its silence is counted
+  // from when the store became reachable for this instance again, so that it
+  // gets the usual time to reconnect.
+  const bool is_alive =
+    now - owner_cut_off_at_ms[address] <= silent_owner_timeout_ms;
+  const auto seen = std::max({ owner_seen_at_ms[address],
+                               b.owner_since_ms,
+                               is_alive ? store_reachable_since_ms : 0 });
+  const auto refused = owner_refused_at_ms[address];
+  if (refused > seen && now - seen > refused_owner_timeout_ms + spread) {
+    return "owner_refused";
+  }
+  return now - seen > silent_owner_timeout_ms + spread
+           ? std::optional<std::string_view>{ "owner_silent" }
+           : std::nullopt;
+}
+
+void
+manager::impl::track_store(std::uint64_t now)
+{
+  const bool is_reachable =
+    now - deps.store.last_answer_ms() <= store_answer_max_age_ms;
+  if (!is_reachable) {
+    store_reachable_since_ms = 0;
+  } else if (store_reachable_since_ms == 0) {
+    store_reachable_since_ms = now;
+  }
+}
+
+void
+manager::impl::tick()
+{
+  timer.expires_after(std::chrono::milliseconds{ tick_ms });
+  timer.async_wait([self = shared_from_this()](asio::error_code ec) {
+    if (!ec) {
+      self->tick();
+    }
+  });
+  const auto now = http::now_ms();
+  check_for_pause(now);
+  track_store(now);
+  probe_owners(now);
+  remove_expired(now);
+  restart_runs_of_ended_incarnations();
+  bool waiting = false;
+  for (auto& [id, b] : batches) {
+    if (!b->readers.empty()) {
+      answer_readers(*b, now);
+    }
+    if (b->owned && b->owner_unconfirmed) {
+      confirm_owner(*b);
+    }
+    if (b->owned && b->load_pending) {
+      b->load_pending = false;
+      take_ownership(*b, false);
+    }
+    if (b->owned && b->loaded) {
+      give_up_expired_items(*b);
+      check_runs(*b, now);
+      write_results_if_due(*b, now);
+      save_progress_if_due(*b, now);
+      waiting = true;
+      continue;
+    }
+    if (b->owned || !b->is_open() || leaving) {
+      continue;
+    }
+    if (b->stored.owner == deps.instance) {
+      own_if_assigned(*b, false);
+      continue;
+    }
+    const auto reason = takeover_reason(*b, now);
+    if (reason && store_reachable_since_ms != 0) {
+      take_over(*b, *reason);
+    }
+  }
+  start_queued_scores();
+  if (waiting) {
+    dispatch();
+    report_engine_usage(now);
+  }
+}
+
+manager::manager(manager_dependencies parts)
+  : impl_{ std::make_shared<impl>(std::move(parts)) }
+{
+}
+
+manager::~manager()
+{
+  impl_->timer.cancel();
+}
+
+void
+manager::start()
+{
+  impl_->tick();
+}
+
+void
+manager::read(const http::call& caller,
+              const edge::batch_request& r,
+              bool from_peer)
+{
+  impl_->lookup(
+    r.id, [self = impl_, caller, r, from_peer](batch_state* b, bool sure) {
+      if (b != nullptr && !from_peer &&
+          !is_accessible_to(b->stored, r.workspace)) {
+        caller.respond(answer(404));
+        return;
+      }
+      if (b == nullptr) {
+        caller.respond(sure && !from_peer ? answer(404)
+                                          : retry_later(self->deps.dialect));
+        return;
+      }
+      const auto now = http::now_ms();
+      self->check_for_pause(now);
+      if (b->owned && b->loaded) {
+        b->readers.push_back({ caller, r.after, now + r.wait_ms });
+        self->write_results_if_due(*b, now);
+        self->answer_readers(*b, now);
+        return;
+      }
+      const bool has_more = b->ledger.listed.size() > r.after;
+      if (b->complete || (has_more && !from_peer)) {
+        self->respond_page(caller, *b, r.after);
+      } else if (from_peer) {
+        caller.respond(retry_later(self->deps.dialect));
+      } else if (b->stored.owner != self->deps.instance &&
+                 !b->stored.owner_address.empty()) {
+        self->read_from_owner(caller, *b, r);
+      } else {
+        self->read_from_store(caller, r);
+      }
+    });
+}
+
+void
+manager::read_item(const http::call& caller, const edge::batch_request& r)
+{
+  impl_->lookup(r.id, [self = impl_, caller, r](batch_state* b, bool sure) {
+    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
+      return;
+    }
+    self->load_submission(*b, [self, caller, r](bool ok) {
+      const auto* read = self->find_batch(r.id);
+      if (!ok || read == nullptr) {
+        caller.respond(retry_later(self->deps.dialect));
+        return;
+      }
+      const auto* item = read->find_item(r.item);
+      if (item == nullptr) {
+        caller.respond(answer(404));
+        return;
+      }
+      http::response a;
+      a.status = 200;
+      a.fields.push_back({ "Content-Type", "application/octet-stream" });
+      a.body = item->body;
+      caller.respond(std::move(a));
+    });
+  });
+}
+
+void
+manager::end(const http::call& caller, const edge::batch_request& r)
+{
+  const auto& id = r.id;
+  impl_->lookup(id, [self = impl_, caller, id, r](batch_state* b, bool sure) {
+    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
+      return;
+    }
+    self->write_status(
+      id,
+      [](stored_batch& s) { s.ended = true; },
+      [self, caller, id](store::call_result v) {
+        const bool done = v == store::call_result::done;
+        if (done) {
+          self->notify_peer(
+            self->find_batch(id)->stored.owner_address, peer_ended_path, id);
+        }
+        caller.respond(done ? answer(200) : retry_later(self->deps.dialect));
+      },
+      4);
+  });
+}
+
+void
+manager::on_batch_ended(const std::string& id)
+{
+  auto* b = impl_->find_batch(id);
+  if (b == nullptr || b->stored.ended) {
+    return;
+  }
+  process::log_line(timeline::event{ "batch_ended" }
+                      .with("batch", id)
+                      .with("reported_by", "peer")
+                      .with("listed", b->ledger.listed.size()));
+  b->stored.ended = true;
+  impl_->close(*b);
+}
+
+void
+manager::on_takeover(const std::string& id)
+{
+  if (auto* b = impl_->find_batch(id)) {
+    impl_->mark_unconfirmed(*b, "taken");
+  }
+}
+
+// An owner that has no path to the store cannot list results.
+bool
+manager::can_own() const
+{
+  return !impl_->leaving && !impl_->deps.store.is_disconnected(http::now_ms());
+}
+
+void
+manager::on_list(std::vector<store::object>&& all)
+{
+  std::vector<std::string> gone;
+  for (const auto& entry : impl_->batches) {
+    const bool listed = std::any_of(all.begin(), all.end(), [&](const auto& o) {
+      return o.name == entry.first;
+    });
+    if (!listed && !entry.second->owned) {
+      gone.push_back(entry.first);
+    }
+  }
+  for (const auto& id : gone) {
+    impl_->forget(id);
+  }
+  for (const auto& o : all) {
+    impl_->apply_stored_batch(o);
+  }
+}
+
+void
+manager::on_change(store::change&& c)
+{
+  if (c.deleted) {
+    impl_->forget(c.value.name);
+  } else {
+    impl_->apply_stored_batch(c.value);
+  }
+}
+
+void
+manager::on_backends()
+{
+  impl_->restart_runs_of_ended_incarnations();
+  impl_->schedule_dispatch();
+}
+
+std::size_t
+manager::owned() const
+{
+  return static_cast<std::size_t>(std::count_if(
+    impl_->batches.begin(), impl_->batches.end(), [](const auto& e) {
+      return e.second->owned;
+    }));
+}
+
+void
+manager::leave(std::function<void()> done)
+{
+  impl_->leaving = true;
+  auto left = std::make_shared<std::size_t>(1);
+  const auto one_done = [left, done] {
+    if (--*left == 0) {
+      done();
+    }
+  };
+  std::vector<std::string> ids;
+  for (auto& [id, b] : impl_->batches) {
+    impl_->answer_readers(*b, http::now_ms());
+    if (b->owned && b->is_open()) {
+      ids.push_back(id);
+    }
+  }
+  *left += ids.size();
+  for (const auto& id : ids) {
+    const auto& stored = impl_->find_batch(id)->stored;
+    const auto successor =
+      choose_successor(impl_->placement_view_for(stored.host, stored.target))
+        .value_or(membership::member{});
+    process::log_line(timeline::event{ "batch_handed_over" }
+                        .with("batch", id)
+                        .with("to", successor.instance));
+    const auto hand_over = [self = impl_, id, successor, one_done] {
+      self->write_status(
+        id,
+        [successor](stored_batch& s) {
+          s.owner = successor.instance;
+          s.owner_address = successor.address;
+          s.owner_capacity = successor.capacity;
+        },
+        [one_done](store::call_result) { one_done(); },
+        2);
+    };
+    impl_->save_progress(*impl_->find_batch(id), hand_over);
+  }
+  one_done();
+}
+
+} // namespace cactusford::batches
--- a/cactusford/batches/progress.cc
+++ b/cactusford/batches/progress.cc
@@ -28,21 +28,21 @@
 {
   progress p;
   const auto list =
-    store::read_shape([&] { return store::list_field(spec, "list"); });
+    store::try_decode([&] { return store::array_field(spec, "list"); });
   if (!list) {
     return p;
   }
   for (const auto& j : *list) {
-    const auto read = store::read_shape([&] {
+    const auto read = store::try_decode([&] {
       item_text t;
-      t.last_event = store::whole_field(j, "last_event");
-      t.events = store::whole_field(j, "count");
-      t.text = store::text_field(j, "text");
-      t.versions = store::wholes_field(j, "weights");
-      t.version = store::whole_field(j, "weight");
-      return std::pair{ store::text_field(j, "item"), std::move(t) };
+      t.last_event = store::uint_field(j, "last_event");
+      t.events = store::uint_field(j, "count");
+      t.text = store::string_field(j, "text");
+      t.versions = store::uint_array_field(j, "weights");
+      t.version = store::uint_field(j, "weight");
+      return std::pair{ store::string_field(j, "item"), std::move(t) };
     });
-    // Starting an item anew costs time and breaks nothing.
+    // Skipping a damaged entry is safe: restarting its item only costs time.
     if (read) {
       p.insert(*read);
     }
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -1,4 +1,4 @@
-#include "cactusford/batches/keeper.h"
+#include "cactusford/batches/manager.h"
 #include "cactusford/edge/credentials.h"
 #include "cactusford/edge/denial.h"
 #include "cactusford/edge/forward.h"
@@ -65,9 +65,9 @@
 constexpr std::size_t max_entries_in_reply = 6;
 
 void
-log_incarnation_change(const backends::life_change& c)
+log_incarnation_change(const backends::incarnation_change& c)
 {
-  if (c.what != backends::announced::same_life) {
+  if (c.what != backends::announce_result::same_incarnation) {
     process::log_line(timeline::event{ "backend_life" }
                         .with("backend", c.of.id)
                         .with("started_ms", c.of.started_ms)
@@ -127,7 +127,7 @@
   void on_configuration(const store::object& o);
   void on_backend_list(std::vector<store::object>&& all);
   void on_backend(store::change&& c);
-  void on_unreadable_backend(const store::unreadable& u);
+  void on_unreadable_backend(const store::unreadable_object& u);
   void start_watches();
   void export_view_metrics();
   void export_quarantine_metrics();
@@ -152,10 +152,10 @@
   std::uint64_t last_announced_ms = 0;
   // When a misdirected call last caused a refresh of the backend list.
   std::uint64_t last_misdirected_refresh_ms = 0;
-  quarantine::guard guard;
+  quarantine::manager guard;
   forwarder calls;
   usage::meter meter;
-  batches::keeper keeper;
+  batches::manager batch_manager;
   store::watcher configuration;
   store::watcher backend_list;
   store::watcher batch_list;
@@ -193,23 +193,23 @@
              started_ms,
              s.usage_reports,
              s.usage_window_ms } }
-  , keeper{ { runtime.io,
-              http,
-              store,
-              registry,
-              wire,
-              calls,
-              [this] { return table; },
-              s.instance,
-              s.peer,
-              s.data_centre,
-              s.keep_batches_ms,
-              s.capacity,
-              [this] {
-                return membership::largest(
-                  entries, max_entries_in_reply, http::now_ms());
-              },
-              &guard } }
+  , batch_manager{ { runtime.io,
+                     http,
+                     store,
+                     registry,
+                     wire,
+                     calls,
+                     [this] { return table; },
+                     s.instance,
+                     s.peer,
+                     s.data_centre,
+                     s.keep_batches_ms,
+                     s.capacity,
+                     [this] {
+                       return membership::largest(
+                         entries, max_entries_in_reply, http::now_ms());
+                     },
+                     &guard } }
   , configuration{ runtime.io,
                    store,
                    { wire.kinds.configuration,
@@ -239,8 +239,8 @@
                      on_backend_list(std::move(all));
                    },
                     [this](store::change&& c) { on_backend(std::move(c)); },
-                    [this] { keeper.on_backends(); },
-                    [this](const store::unreadable& u) {
+                    [this] { batch_manager.on_backends(); },
+                    [this](const store::unreadable_object& u) {
                       on_unreadable_backend(u);
                     } } }
   , batch_list{ runtime.io,
@@ -250,9 +250,11 @@
                   0,
                   true },
                 { [this](std::vector<store::object>&& all) {
-                   keeper.on_list(std::move(all));
+                   batch_manager.on_list(std::move(all));
                  },
-                  [this](store::change&& c) { keeper.on_change(std::move(c)); },
+                  [this](store::change&& c) {
+                    batch_manager.on_change(std::move(c));
+                  },
                   {} } }
   , caller_server{ runtime.io,
                    {},
@@ -270,7 +272,7 @@
       metrics.set("store_calls", static_cast<double>(store.calls()));
       metrics.set("backend_connections_opened",
                   static_cast<double>(http.opened()));
-      metrics.set("batches_owned", static_cast<double>(keeper.owned()));
+      metrics.set("batches_owned", static_cast<double>(batch_manager.owned()));
       export_view_metrics();
       export_quarantine_metrics();
       export_usage_metrics();
@@ -329,8 +331,8 @@
 edge_process::export_quarantine_metrics()
 {
   const auto& c = guard.counts();
-  metrics.set("run_cuts", static_cast<double>(c.cuts));
-  metrics.set("backend_ends", static_cast<double>(c.ends));
+  metrics.set("run_cuts", static_cast<double>(c.connections_lost));
+  metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
   metrics.set("end_reports_known", static_cast<double>(guard.reports()));
@@ -438,7 +440,7 @@
   registry.keep_missing_until_ms = http::now_ms() + missing_grace_ms;
   runtime.after(missing_grace_ms + 1, [this] {
     if (backends::expire(registry, http::now_ms())) {
-      keeper.on_backends();
+      batch_manager.on_backends();
     }
   });
 }
@@ -469,13 +471,13 @@
                       .with("revision", o.revision));
   caller_server.limit(fresh->limits);
   table = std::make_shared<const routes::table>(std::move(*fresh));
-  keeper.on_backends();
+  batch_manager.on_backends();
 }
 
 // An unreadable announcement identifies no backend server. The previous one is
 // dropped too, as it may have been overwritten.
 void
-edge_process::on_unreadable_backend(const store::unreadable& u)
+edge_process::on_unreadable_backend(const store::unreadable_object& u)
 {
   store::log_unreadable(wire.kinds.backends, u);
   backends::drop(registry, u.name);
@@ -511,7 +513,7 @@
     on_unreadable_backend({ c.value.name, a.fault });
     return;
   }
-  const backends::life of{ a->id, a->started_ms };
+  const backends::incarnation of{ a->id, a->started_ms };
   log_incarnation_change({ of, backends::announce(registry, std::move(*a)) });
 }
 
@@ -568,7 +570,8 @@
     const auto remaining_ms =
       http::number(request.fields, wire.headers.deadline_ms)
         .value_or(route->timeout_ms);
-    keeper.accept(c, id, caller.workspace, c.received_ms() + remaining_ms);
+    batch_manager.accept(
+      c, id, caller.workspace, c.received_ms() + remaining_ms);
     return;
   }
   forward(c, *route, id, caller);
@@ -584,13 +587,13 @@
   b.workspace = std::move(caller.workspace);
   switch (b.what) {
     case batch_operation::read_results:
-      keeper.read(c, b, false);
+      batch_manager.read(c, b, false);
       return;
     case batch_operation::read_item:
-      keeper.read_item(c, b);
+      batch_manager.read_item(c, b);
       return;
     case batch_operation::end:
-      keeper.end(c, b);
+      batch_manager.end(c, b);
       return;
     case batch_operation::none:
       return;
@@ -728,20 +731,20 @@
   const auto& request = c.request();
   const auto path = http::path_of(request.target);
   if (path == batches::peer_alive_path) {
-    c.respond(empty_response(keeper.can_own() ? 200 : 503));
+    c.respond(empty_response(batch_manager.can_own() ? 200 : 503));
   } else if (path.starts_with(batches::peer_ended_path)) {
-    keeper.on_ended(
+    batch_manager.on_batch_ended(
       std::string{ path.substr(batches::peer_ended_path.size()) });
     c.respond(empty_response(200));
   } else if (path.starts_with(batches::peer_taken_path)) {
-    keeper.on_taken(
+    batch_manager.on_takeover(
       std::string{ path.substr(batches::peer_taken_path.size()) });
     c.respond(empty_response(200));
-  } else if (path.starts_with(batches::peer_passed_path)) {
-    keeper.on_passed(
-      c, std::string{ path.substr(batches::peer_passed_path.size()) });
-  } else if (path == batches::peer_use_path) {
-    keeper.on_use(c);
+  } else if (path.starts_with(batches::peer_forwarded_path)) {
+    batch_manager.on_submission_forwarded(
+      c, std::string{ path.substr(batches::peer_forwarded_path.size()) });
+  } else if (path == batches::peer_engine_usage_path) {
+    batch_manager.on_engine_usage(c);
   } else if (path == usage::peer_counts_path) {
     meter.on_peer(c);
   } else if (path == store::relay_path) {
@@ -756,7 +759,7 @@
     };
     r.after = value("after");
     r.wait_ms = value("wait");
-    keeper.read(c, r, true);
+    batch_manager.read(c, r, true);
   } else {
     c.respond(empty_response(404));
   }
@@ -773,7 +776,7 @@
   leave_started_ms = http::now_ms();
   caller_server.leave();
   store.stop_relaying();
-  keeper.leave([this] { has_keeper_left = true; });
+  batch_manager.leave([this] { has_keeper_left = true; });
   meter.leave();
   poll_drained();
 }
@@ -809,7 +812,7 @@
   runtime.on_reload = [this](const hosted_settings& fresh) {
     store.use_relays(fresh.peers, fresh.peer_rank);
   };
-  keeper.start();
+  batch_manager.start();
   // Refreshes the list at once, so that a server that has restarted under
   // another id is used without waiting for coalesced changes. Otherwise callers
   // were refused for 0.6 s after all servers of a service had crashed and
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -277,7 +277,7 @@
   auto d = standins::plain_dialect();
   http::client http{ io };
   store::client client{ io, http, d.store, { store.address(), {} } };
-  quarantine::guard guard{ io, client, registry, { "entry", false } };
+  quarantine::manager guard{ io, client, registry, { "entry", false } };
   forwarder calls{ io, http, registry, d, "a", &guard };
   const auto call = [&] {
     forward_request r;
@@ -312,8 +312,8 @@
   SECTION("with one crash attributed to the request")
   {
     // Nothing listens on the discard port (9) of the local host.
-    guard.on_cut({ "ended", 1 }, "127.0.0.1:9", fingerprint);
-    while (guard.counts().ends == 0) {
+    guard.on_connection_lost({ "ended", 1 }, "127.0.0.1:9", fingerprint);
+    while (guard.counts().crashes == 0) {
       io.run_one();
     }
     call();
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -99,7 +99,7 @@
 struct forwarder::attempt
 {
   http::pending exchange;
-  backends::life backend;
+  backends::incarnation backend;
   std::string address;
   std::uint64_t sent_ms = 0;
   bool ended = false;
@@ -129,7 +129,7 @@
   bool is_trial = false;
   bool is_start_reported = false;
   // The verdict because of which the call was refused.
-  quarantine::verdict refusal_verdict;
+  quarantine::decision refusal_verdict;
   bool finished = false;
 
   bool is_repeatable() const
@@ -165,7 +165,7 @@
                      backends::registry& registry,
                      const dialect& d,
                      std::string data_centre,
-                     quarantine::guard* guard)
+                     quarantine::manager* guard)
   : io_{ io }
   , http_{ http }
   , registry_{ registry }
@@ -228,12 +228,12 @@
   };
 }
 
-quarantine::verdict
+quarantine::decision
 forwarder::check_quarantine(const call_state& call)
 {
   return guard_ == nullptr
-           ? quarantine::verdict{}
-           : guard_->judge(call.fingerprint, quarantine::run_kind::call);
+           ? quarantine::decision{}
+           : guard_->evaluate(call.fingerprint, quarantine::run_kind::call);
 }
 
 // Refuses a poison request, unless one of its attempts is still open and will
@@ -242,7 +242,7 @@
 // four servers crashed sixteen times within 90 s.
 void
 forwarder::refuse_quarantined(const std::shared_ptr<call_state>& call,
-                              const quarantine::verdict& v)
+                              const quarantine::decision& v)
 {
   call->refusal_verdict = v;
   if (call->has_open_attempt()) {
@@ -263,7 +263,7 @@
     return;
   }
   if (end.state == http::end_state::cut) {
-    guard_->on_cut(a.backend, a.address, call.fingerprint);
+    guard_->on_connection_lost(a.backend, a.address, call.fingerprint);
   } else if (end.state == http::end_state::complete && end.is_signed &&
              !end.not_run) {
     guard_->on_answered(call.fingerprint);
@@ -279,10 +279,10 @@
     return true;
   }
   const auto v = check_quarantine(*call);
-  switch (v.what) {
-    case quarantine::standing::clear:
-    case quarantine::standing::suspected:
-      if (!quarantine::has_ends(v) || !call->attempts.empty()) {
+  switch (v.status) {
+    case quarantine::request_status::clear:
+    case quarantine::request_status::suspected:
+      if (!quarantine::has_crashes(v) || !call->attempts.empty()) {
         return true;
       }
       call->is_suspect = true;
@@ -291,14 +291,14 @@
         return false;
       }
       return true;
-    case quarantine::standing::on_trial:
+    case quarantine::request_status::on_trial:
       if (call->attempts.empty()) {
         start_trial(call);
       } else {
         refuse_quarantined(call, v);
       }
       return false;
-    case quarantine::standing::refused:
+    case quarantine::request_status::quarantined:
       refuse_quarantined(call, v);
       return false;
   }
@@ -311,7 +311,7 @@
 forwarder::has_unresolved_run(const call_state& call) const
 {
   return running_attempts_.contains(call.fingerprint) ||
-         guard_->is_looking_at(call.fingerprint);
+         guard_->is_probing(call.fingerprint);
 }
 
 // Runs of a suspected request are serialized. Concurrent ones could each crash
@@ -415,7 +415,7 @@
   const auto remaining_ms =
     call.input.give_up_ms > now ? call.input.give_up_ms - now : 1;
   http::set(r.fields, names.deadline_ms, std::to_string(remaining_ms));
-  http::set(r.fields, names.expected_backend, b.said.id);
+  http::set(r.fields, names.expected_backend, b.info.id);
   return r;
 }
 
@@ -424,16 +424,16 @@
 {
   const auto index = call->attempts.size();
   const auto now = http::now_ms();
-  call->contacted.push_back(b.said.id);
+  call->contacted.push_back(b.info.id);
   call->attempts.push_back(
-    { {}, backends::life_of(b), b.said.address, now, false });
+    { {}, backends::incarnation_of(b), b.info.address, now, false });
   process::log_line(
     timeline::event{ "call_sent" }
       .with("request", call->input.id)
       .with("work", call->fingerprint)
       .with("route", call->input.route.name)
-      .with("backend", b.said.id)
-      .with("address", b.said.address)
+      .with("backend", b.info.id)
+      .with("address", b.info.address)
       .with("attempt", call->attempts.size())
       .with("in_flight", b.in_flight)
       .with("others", b.others)
@@ -452,7 +452,7 @@
   o.echo = { dialect_.headers.request_id, call->input.id };
   o.reset_when_given_up = true;
   call->attempts[index].exchange = http_.fetch(
-    b.said.address,
+    b.info.address,
     prepare(*call, b),
     o,
     [this, call, index](http::end_state end, http::response&& r) {
@@ -476,7 +476,7 @@
     // servers at once.
     if (!ec && !call->finished && call->runs < call->input.route.max_attempts &&
         call->contacted.size() < max_contacted &&
-        !quarantine::has_ends(check_quarantine(*call)) &&
+        !quarantine::has_crashes(check_quarantine(*call)) &&
         try_take_second_attempt(
           second_attempts_[call->input.route.path_prefix])) {
       send_next_attempt(call);
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -5,7 +5,7 @@
 #include "cactusford/edge/dialect.h"
 #include "cactusford/edge/second_attempt.h"
 #include "cactusford/http/client.h"
-#include "cactusford/quarantine/guard.h"
+#include "cactusford/quarantine/manager.h"
 
 #include <asio/io_context.hpp>
 
@@ -111,7 +111,7 @@
             backends::registry& registry,
             const dialect& d,
             std::string data_centre,
-            quarantine::guard* guard = nullptr);
+            quarantine::manager* guard = nullptr);
 
   using handler = std::function<void(forward_outcome&&)>;
 
@@ -132,7 +132,7 @@
   struct call_state;
   struct attempt;
   void send_next_attempt(const std::shared_ptr<call_state>& call);
-  quarantine::verdict check_quarantine(const call_state& call);
+  quarantine::decision check_quarantine(const call_state& call);
   bool may_send(const std::shared_ptr<call_state>& call);
   bool has_unresolved_run(const call_state& call) const;
   void wait_for_unresolved_run(const std::shared_ptr<call_state>& call);
@@ -140,7 +140,7 @@
   void report_run_started(call_state& call);
   void start_trial(const std::shared_ptr<call_state>& call);
   void refuse_quarantined(const std::shared_ptr<call_state>& call,
-                          const quarantine::verdict& v);
+                          const quarantine::decision& v);
   void report_to_quarantine(const call_state& call,
                             const attempt& a,
                             const attempt_end& end);
@@ -167,7 +167,7 @@
   const dialect& dialect_;
   std::string data_centre_;
   // If null, no request is quarantined.
-  quarantine::guard* guard_;
+  quarantine::manager* guard_;
   // Keyed by the path prefix of the route, as calls of one route take about the
   // same time.
   std::map<std::string, second_attempts> second_attempts_;
--- a/cactusford/edge/piggyback.cc
+++ b/cactusford/edge/piggyback.cc
@@ -13,8 +13,8 @@
 std::optional<std::string>
 sidecar_from(const nlohmann::json& message)
 {
-  return store::read_shape(
-    [&] { return store::text_field(message, "sidecar"); });
+  return store::try_decode(
+    [&] { return store::string_field(message, "sidecar"); });
 }
 
 std::uint32_t
@@ -35,7 +35,7 @@
 rank_from(const nlohmann::json& reply)
 {
   const auto rank =
-    store::read_shape([&] { return store::whole_field(reply, "rank"); });
+    store::try_decode([&] { return store::uint_field(reply, "rank"); });
   return rank ? std::optional{ static_cast<std::uint32_t>(*rank) }
               : std::nullopt;
 }
--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -109,7 +109,7 @@
 void
 loader::log_reachability(bool is_reachable,
                          http::end_state end,
-                         const store::shape_fault& fault)
+                         const store::decode_error& fault)
 {
   if (is_reachable == was_reachable_) {
     return;
