--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -84,7 +84,7 @@
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
   const auto v = deps.guard->evaluate(work, quarantine::run_kind::call);
   return quarantine::has_crashes(v) &&
-         v.what != quarantine::request_status::quarantined;
+         v.status != quarantine::request_status::quarantined;
 }
 
 // Returns the total number of slots of the route's servers.
@@ -211,8 +211,8 @@
     process::log_line(timeline::event{ "item_score_quarantined" }
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
-                        .with("ends", o.ends)
-                        .with("come_back_ms", o.come_back_ms));
+                        .with("ends", o.crashes)
+                        .with("come_back_ms", o.retry_after_ms));
   }
   i.score_retry_at_ms =
     http::now_ms() + (quarantined ? quarantine_check_ms : score_retry_ms);
