--- a/cactusford/batches/manager.cc
+++ b/cactusford/batches/manager.cc
@@ -77,9 +77,9 @@
     update(*b, std::move(*s));
     return b;
   }
-  auto fresh = std::make_unique<batch_state>();
-  auto* b = fresh.get();
-  batches.emplace(o.name, std::move(fresh));
+  auto created = std::make_unique<batch_state>();
+  auto* b = created.get();
+  batches.emplace(o.name, std::move(created));
   b->stored = std::move(*s);
   b->owner_since_ms = http::now_ms();
   b->due_ms = due_of(*b);
@@ -109,8 +109,8 @@
 void
 manager::impl::own_if_assigned(batch_state& b, bool is_fresh)
 {
-  const bool ours = b.is_open() && b.stored.owner == deps.instance;
-  if (ours && !b.owned && !accepting.contains(b.stored.id)) {
+  const bool is_owner = b.is_open() && b.stored.owner == deps.instance;
+  if (is_owner && !b.owned && !accepting.contains(b.stored.id)) {
     take_ownership(b, is_fresh);
   }
 }
@@ -233,11 +233,12 @@
   // cut off alone or affected by an outage for everyone. Its silence is counted
   // from when the store became reachable for this instance again, so that it
   // gets the usual time to reconnect.
-  const bool is_alive =
+  const bool reported_cut_off =
     now - owner_cut_off_at_ms[address] <= silent_owner_timeout_ms;
-  const auto seen = std::max({ owner_seen_at_ms[address],
-                               b.owner_since_ms,
-                               is_alive ? store_reachable_since_ms : 0 });
+  const auto seen =
+    std::max({ owner_seen_at_ms[address],
+               b.owner_since_ms,
+               reported_cut_off ? store_reachable_since_ms : 0 });
   const auto refused = owner_refused_at_ms[address];
   if (refused > seen && now - seen > refused_owner_timeout_ms + spread) {
     return "owner_refused";
@@ -274,7 +275,7 @@
   probe_owners(now);
   remove_expired(now);
   restart_runs_of_ended_incarnations();
-  bool waiting = false;
+  bool has_loaded_batch = false;
   for (auto& [id, b] : batches) {
     if (!b->readers.empty()) {
       answer_readers(*b, now);
@@ -291,7 +292,7 @@
       check_runs(*b, now);
       write_results_if_due(*b, now);
       save_progress_if_due(*b, now);
-      waiting = true;
+      has_loaded_batch = true;
       continue;
     }
     if (b->owned || !b->is_open() || leaving) {
@@ -307,14 +308,14 @@
     }
   }
   start_queued_scores();
-  if (waiting) {
+  if (has_loaded_batch) {
     dispatch();
     report_engine_usage(now);
   }
 }
 
-manager::manager(manager_dependencies parts)
-  : impl_{ std::make_shared<impl>(std::move(parts)) }
+manager::manager(manager_dependencies dependencies)
+  : impl_{ std::make_shared<impl>(std::move(dependencies)) }
 {
 }
 
@@ -335,15 +336,17 @@
               bool from_peer)
 {
   impl_->lookup(
-    r.id, [self = impl_, caller, r, from_peer](batch_state* b, bool sure) {
+    r.id,
+    [self = impl_, caller, r, from_peer](batch_state* b, bool store_answered) {
       if (b != nullptr && !from_peer &&
           !is_accessible_to(b->stored, r.workspace)) {
         caller.respond(answer(404));
         return;
       }
       if (b == nullptr) {
-        caller.respond(sure && !from_peer ? answer(404)
-                                          : retry_later(self->deps.dialect));
+        caller.respond(store_answered && !from_peer
+                         ? answer(404)
+                         : retry_later(self->deps.dialect));
         return;
       }
       const auto now = http::now_ms();
@@ -371,53 +374,57 @@
 void
 manager::read_item(const http::call& caller, const edge::batch_request& r)
 {
-  impl_->lookup(r.id, [self = impl_, caller, r](batch_state* b, bool sure) {
-    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
-      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
-      return;
-    }
-    self->load_submission(*b, [self, caller, r](bool ok) {
-      const auto* read = self->find_batch(r.id);
-      if (!ok || read == nullptr) {
-        caller.respond(retry_later(self->deps.dialect));
-        return;
-      }
-      const auto* item = read->find_item(r.item);
-      if (item == nullptr) {
-        caller.respond(answer(404));
+  impl_->lookup(
+    r.id, [self = impl_, caller, r](batch_state* b, bool store_answered) {
+      if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+        caller.respond(store_answered ? answer(404)
+                                      : retry_later(self->deps.dialect));
         return;
       }
-      http::response a;
-      a.status = 200;
-      a.fields.push_back({ "Content-Type", "application/octet-stream" });
-      a.body = item->body;
-      caller.respond(std::move(a));
+      self->load_submission(*b, [self, caller, r](bool ok) {
+        const auto* read = self->find_batch(r.id);
+        if (!ok || read == nullptr) {
+          caller.respond(retry_later(self->deps.dialect));
+          return;
+        }
+        const auto* item = read->find_item(r.item);
+        if (item == nullptr) {
+          caller.respond(answer(404));
+          return;
+        }
+        http::response a;
+        a.status = 200;
+        a.fields.push_back({ "Content-Type", "application/octet-stream" });
+        a.body = item->body;
+        caller.respond(std::move(a));
+      });
     });
-  });
 }
 
 void
 manager::end(const http::call& caller, const edge::batch_request& r)
 {
   const auto& id = r.id;
-  impl_->lookup(id, [self = impl_, caller, id, r](batch_state* b, bool sure) {
-    if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
-      caller.respond(sure ? answer(404) : retry_later(self->deps.dialect));
-      return;
-    }
-    self->write_status(
-      id,
-      [](stored_batch& s) { s.ended = true; },
-      [self, caller, id](store::call_result v) {
-        const bool done = v == store::call_result::done;
-        if (done) {
-          self->notify_peer(
-            self->find_batch(id)->stored.owner_address, peer_ended_path, id);
-        }
-        caller.respond(done ? answer(200) : retry_later(self->deps.dialect));
-      },
-      4);
-  });
+  impl_->lookup(
+    id, [self = impl_, caller, id, r](batch_state* b, bool store_answered) {
+      if (b == nullptr || !is_accessible_to(b->stored, r.workspace)) {
+        caller.respond(store_answered ? answer(404)
+                                      : retry_later(self->deps.dialect));
+        return;
+      }
+      self->write_status(
+        id,
+        [](stored_batch& s) { s.ended = true; },
+        [self, caller, id](store::call_result v) {
+          const bool done = v == store::call_result::done;
+          if (done) {
+            self->notify_peer(
+              self->find_batch(id)->stored.owner_address, peer_ended_path, id);
+          }
+          caller.respond(done ? answer(200) : retry_later(self->deps.dialect));
+        },
+        4);
+    });
 }
 
 void
--- a/cactusford/batches/manager.h
+++ b/cactusford/batches/manager.h
@@ -64,7 +64,7 @@
 class manager
 {
 public:
-  explicit manager(manager_dependencies parts);
+  explicit manager(manager_dependencies dependencies);
   ~manager();
 
   // Starts the periodic checks.
--- a/cactusford/batches/manager_impl.h
+++ b/cactusford/batches/manager_impl.h
@@ -61,8 +61,8 @@
 
 struct manager::impl : std::enable_shared_from_this<manager::impl>
 {
-  explicit impl(manager_dependencies parts)
-    : deps{ std::move(parts) }
+  explicit impl(manager_dependencies dependencies)
+    : deps{ std::move(dependencies) }
     , timer{ deps.io }
   {
   }
@@ -82,21 +82,24 @@
   void lookup(const std::string& id, std::function<void(batch_state*, bool)>);
 
   // Submissions
-  void write_parts(const std::shared_ptr<detail::pending_submission>& a);
-  void write_batch_object(const std::shared_ptr<detail::pending_submission>& a);
+  void write_parts(const std::shared_ptr<detail::pending_submission>& pending);
+  void write_batch_object(
+    const std::shared_ptr<detail::pending_submission>& pending);
   void on_batch_object_written(
-    const std::shared_ptr<detail::pending_submission>& a,
+    const std::shared_ptr<detail::pending_submission>& pending,
     const store::reply& r);
   void retry_acceptance(
-    const std::shared_ptr<detail::pending_submission>& a,
+    const std::shared_ptr<detail::pending_submission>& pending,
     void (impl::*step)(const std::shared_ptr<detail::pending_submission>&));
-  void refuse(const detail::pending_submission& a);
+  void refuse(const detail::pending_submission& pending);
   membership::member this_member() const;
   placement_view placement_view_for(const std::string& host,
                                     const std::string& target);
-  void forward_submission(const std::shared_ptr<detail::pending_submission>& a,
-                          const membership::member& to);
-  void accept_locally(const std::shared_ptr<detail::pending_submission>& a);
+  void forward_submission(
+    const std::shared_ptr<detail::pending_submission>& pending,
+    const membership::member& to);
+  void accept_locally(
+    const std::shared_ptr<detail::pending_submission>& pending);
   void remove_orphaned_parts(const std::string& id, std::uint64_t parts);
   void remove_parts(const std::string& id,
                     std::uint64_t part,
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -220,15 +220,15 @@
         self->load_chunks(id, done);
         return;
       }
-      std::size_t taken = 0;
+      std::size_t adopted = 0;
       for (const auto& o : r.items) {
-        taken += self->adopt_if_next_chunk(id, o) ? 1 : 0;
+        adopted += self->adopt_if_next_chunk(id, o) ? 1 : 0;
       }
       // A list without further pages contains all chunks of this batch.
       // Checking for one more would cost an additional call for each owner and
       // reader.
       const bool listed_all = first == 0 && !absent && !r.more;
-      if (taken == 0 || listed_all) {
+      if (adopted == 0 || listed_all) {
         done(true);
       } else {
         self->load_chunks(id, done);
@@ -341,22 +341,23 @@
     http::exchange_options o;
     o.timeout_ms = owner_probe_timeout_ms;
     o.connect_timeout_ms = owner_probe_timeout_ms;
-    deps.http.fetch(address,
-                    r,
-                    o,
-                    [self = shared_from_this(), address, now](
-                      http::end_state end, http::response&& a) {
-                      self->owner_probe_pending[address] = false;
-                      const auto then = http::now_ms();
-                      if (end == http::end_state::complete && a.status == 200) {
-                        self->owner_seen_at_ms[address] = then;
-                      } else if (end == http::end_state::complete) {
-                        self->owner_cut_off_at_ms[address] = then;
-                      } else if (end == http::end_state::not_sent &&
-                                 then - now < connection_refused_limit_ms) {
-                        self->owner_refused_at_ms[address] = then;
-                      }
-                    });
+    deps.http.fetch(
+      address,
+      r,
+      o,
+      [self = shared_from_this(), address, now](http::end_state end,
+                                                http::response&& a) {
+        self->owner_probe_pending[address] = false;
+        const auto answered_ms = http::now_ms();
+        if (end == http::end_state::complete && a.status == 200) {
+          self->owner_seen_at_ms[address] = answered_ms;
+        } else if (end == http::end_state::complete) {
+          self->owner_cut_off_at_ms[address] = answered_ms;
+        } else if (end == http::end_state::not_sent &&
+                   answered_ms - now < connection_refused_limit_ms) {
+          self->owner_refused_at_ms[address] = answered_ms;
+        }
+      });
   }
 }
 
--- a/cactusford/batches/placement.cc
+++ b/cactusford/batches/placement.cc
@@ -20,31 +20,31 @@
 constexpr double min_capacity_share = 0.7;
 
 std::optional<membership::member>
-live_runner(const placement_view& v)
+live_runner(const placement_view& view)
 {
   const auto newest =
-    std::max_element(v.trainer_runners.begin(),
-                     v.trainer_runners.end(),
+    std::max_element(view.trainer_runners.begin(),
+                     view.trainer_runners.end(),
                      [](const auto& a, const auto& b) {
                        return a.accepted_wall_ms < b.accepted_wall_ms;
                      });
-  const bool is_alive = newest != v.trainer_runners.end() &&
-                        v.now_ms - newest->seen_ms <= max_answer_age_ms;
+  const bool is_alive = newest != view.trainer_runners.end() &&
+                        view.now_ms - newest->seen_ms <= max_answer_age_ms;
   return is_alive ? std::optional{ newest->entry } : std::nullopt;
 }
 
 // Returns the largest entry that runs no other trainer's steps, or the largest
 // of all if every entry does.
 membership::member
-largest_idle_entry(const placement_view& v)
+largest_idle_entry(const placement_view& view)
 {
   const auto rank_of = [&](const membership::member& m) {
-    return std::tuple{ !v.busy_instances.contains(m.instance),
+    return std::tuple{ !view.busy_instances.contains(m.instance),
                        m.capacity,
-                       membership::weight_of(m.instance, v.trainer) };
+                       membership::weight_of(m.instance, view.trainer) };
   };
-  auto best = v.self;
-  for (const auto& m : v.largest_entries) {
+  auto best = view.self;
+  for (const auto& m : view.largest_entries) {
     best = rank_of(m) > rank_of(best) ? m : best;
   }
   return best;
@@ -53,29 +53,29 @@
 } // namespace
 
 membership::member
-choose_runner(const placement_view& v)
+choose_runner(const placement_view& view)
 {
-  const auto best = largest_idle_entry(v);
+  const auto best = largest_idle_entry(view);
   const auto is_large_enough = [&](const membership::member& m) {
     return m.capacity >= min_capacity_share * best.capacity;
   };
-  const auto runner = live_runner(v);
+  const auto runner = live_runner(view);
   if (runner && is_large_enough(*runner)) {
     return *runner;
   }
-  const bool is_free = !v.busy_instances.contains(v.self.instance);
-  return is_free && is_large_enough(v.self) ? v.self : best;
+  const bool is_free = !view.busy_instances.contains(view.self.instance);
+  return is_free && is_large_enough(view.self) ? view.self : best;
 }
 
 std::optional<membership::member>
-choose_successor(const placement_view& v)
+choose_successor(const placement_view& view)
 {
   std::optional<membership::member> fallback;
-  for (const auto& m : v.largest_entries) {
-    if (m.instance == v.self.instance) {
+  for (const auto& m : view.largest_entries) {
+    if (m.instance == view.self.instance) {
       continue;
     }
-    if (!v.busy_instances.contains(m.instance)) {
+    if (!view.busy_instances.contains(m.instance)) {
       return m;
     }
     fallback = fallback ? fallback : m;
--- a/cactusford/batches/placement.h
+++ b/cactusford/batches/placement.h
@@ -57,7 +57,7 @@
 // clearly larger. Otherwise the batch goes to the largest entry that runs no
 // other trainer's steps, or stays here if this entry is about as large.
 membership::member
-choose_runner(const placement_view& v);
+choose_runner(const placement_view& view);
 
 // Returns the entry that continues a batch when `self` shuts down: the first of
 // the known entries that runs no other trainer's steps. Returns nothing if no
@@ -68,6 +68,6 @@
 // it, compared with 0.24 s on a large one, and which was itself stopped soon
 // after.
 std::optional<membership::member>
-choose_successor(const placement_view& v);
+choose_successor(const placement_view& view);
 
 } // namespace cactusford::batches
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -154,8 +154,8 @@
   auto readers = std::move(b.readers);
   b.readers.clear();
   for (auto& r : readers) {
-    const bool more = b.ledger.listed.size() > r.after;
-    if (more || !b.owned || now >= r.until_ms || leaving) {
+    const bool has_more = b.ledger.listed.size() > r.after;
+    if (has_more || !b.owned || now >= r.until_ms || leaving) {
       answer_reader(r, b);
     } else if (r.caller.is_open()) {
       b.readers.push_back(std::move(r));
@@ -170,11 +170,11 @@
 void
 manager::impl::answer_reader(const waiting_reader& r, batch_state& b)
 {
-  const bool more = b.ledger.listed.size() > r.after;
+  const bool has_more = b.ledger.listed.size() > r.after;
   const bool knows_all =
     b.complete ||
     (b.owned && b.loaded && !b.owner_unconfirmed && is_settled(b.ledger));
-  if (more || knows_all) {
+  if (has_more || knows_all) {
     respond_page(r.caller, b, r.after);
   } else {
     r.caller.respond(retry_later(deps.dialect));
@@ -186,18 +186,18 @@
                                batch_state& b,
                                const edge::batch_request& r)
 {
-  http::request ask;
-  ask.method = "GET";
-  ask.target = std::string{ peer_results_path } + r.id +
-               "?after=" + std::to_string(r.after) +
-               "&wait=" + std::to_string(r.wait_ms);
+  http::request request;
+  request.method = "GET";
+  request.target = std::string{ peer_results_path } + r.id +
+                   "?after=" + std::to_string(r.after) +
+                   "&wait=" + std::to_string(r.wait_ms);
   http::exchange_options o;
   o.timeout_ms = r.wait_ms + peer_read_ms;
   o.connect_timeout_ms = peer_read_ms / 2;
   auto sent = std::make_shared<http::pending>();
   *sent =
     deps.http.fetch(b.stored.owner_address,
-                    ask,
+                    request,
                     o,
                     [self = shared_from_this(), caller, r](http::end_state end,
                                                            http::response&& a) {
--- a/cactusford/batches/retention.cc
+++ b/cactusford/batches/retention.cc
@@ -33,8 +33,9 @@
   for (auto& entry : batches) {
     auto& b = *entry.second;
     const bool is_owner = b.stored.owner == deps.instance;
-    const auto keep = deps.retention_ms + (is_owner ? 0 : non_owner_delay_ms);
-    const bool expired = wall > b.stored.accepted_wall_ms + keep;
+    const auto retention_ms =
+      deps.retention_ms + (is_owner ? 0 : non_owner_delay_ms);
+    const bool expired = wall > b.stored.accepted_wall_ms + retention_ms;
     if (b.stored.ended && expired && !b.removing &&
         begun < max_removals_per_check) {
       b.removing = true;
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -235,8 +235,9 @@
   if (deps.guard == nullptr) {
     return false;
   }
-  const auto v = deps.guard->evaluate(i.work, quarantine::run_kind::item);
-  if (v.status != quarantine::request_status::quarantined) {
+  const auto decision =
+    deps.guard->evaluate(i.work, quarantine::run_kind::item);
+  if (decision.status != quarantine::request_status::quarantined) {
     return false;
   }
   deps.guard->note_refused();
@@ -244,8 +245,8 @@
                       .with("request", b.submission.items[i.index].id)
                       .with("work", i.work)
                       .with("batch", b.stored.id)
-                      .with("ends", v.crashes)
-                      .with("until_ms", v.until_ms));
+                      .with("ends", decision.crashes)
+                      .with("until_ms", decision.until_ms));
   return true;
 }
 
--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -82,9 +82,9 @@
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto v = deps.guard->evaluate(work, quarantine::run_kind::call);
-  return quarantine::has_crashes(v) &&
-         v.status != quarantine::request_status::quarantined;
+  const auto decision = deps.guard->evaluate(work, quarantine::run_kind::call);
+  return quarantine::has_crashes(decision) &&
+         decision.status != quarantine::request_status::quarantined;
 }
 
 // Returns the total number of slots of the route's servers.
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -35,17 +35,17 @@
                         std::uint64_t give_up_ms)
 {
   const auto& request = caller.request();
-  auto a = std::make_shared<pending_submission>();
-  a->caller = caller;
-  a->id = id;
-  a->give_up_ms = give_up_ms;
-  a->stored.id = id;
-  a->stored.host =
+  auto pending = std::make_shared<pending_submission>();
+  pending->caller = caller;
+  pending->id = id;
+  pending->give_up_ms = give_up_ms;
+  pending->stored.id = id;
+  pending->stored.host =
     std::string{ http::find(request.fields, "Host").value_or("") };
-  a->stored.target = std::move(target);
-  a->stored.workspace = std::move(workspace);
-  a->stored.accepted_wall_ms = timeline::wall_ms();
-  return a;
+  pending->stored.target = std::move(target);
+  pending->stored.workspace = std::move(workspace);
+  pending->stored.accepted_wall_ms = timeline::wall_ms();
+  return pending;
 }
 
 // Answers a submission that was accepted before. If the id belongs to a batch
@@ -73,14 +73,14 @@
     caller.respond(answer_duplicate(b->stored, workspace));
     return;
   }
-  auto a = make_pending_submission(
+  auto pending = make_pending_submission(
     caller, id, caller.request().target, workspace, give_up_ms);
-  const auto to =
-    choose_runner(impl_->placement_view_for(a->stored.host, a->stored.target));
+  const auto to = choose_runner(
+    impl_->placement_view_for(pending->stored.host, pending->stored.target));
   if (to.instance == impl_->deps.instance) {
-    impl_->accept_locally(a);
+    impl_->accept_locally(pending);
   } else {
-    impl_->forward_submission(a, to);
+    impl_->forward_submission(pending, to);
   }
 }
 
@@ -120,22 +120,24 @@
 // safe because its object is created only once, but "not run" can no longer be
 // promised.
 void
-manager::impl::forward_submission(const std::shared_ptr<pending_submission>& a,
-                                  const membership::member& to)
+manager::impl::forward_submission(
+  const std::shared_ptr<pending_submission>& pending,
+  const membership::member& to)
 {
-  const auto& request = a->caller.request();
+  const auto& request = pending->caller.request();
   const auto now = http::now_ms();
   http::request r;
   r.method = "POST";
-  r.target = std::string{ peer_forwarded_path } + a->id;
-  r.fields = { { "Host", a->stored.host },
-               { std::string{ target_header }, a->stored.target },
+  r.target = std::string{ peer_forwarded_path } + pending->id;
+  r.fields = { { "Host", pending->stored.host },
+               { std::string{ target_header }, pending->stored.target },
                { std::string{ remaining_time_header },
-                 std::to_string(a->give_up_ms > now ? a->give_up_ms - now
-                                                    : 0) } };
-  if (!a->stored.workspace.empty()) {
+                 std::to_string(pending->give_up_ms > now
+                                  ? pending->give_up_ms - now
+                                  : 0) } };
+  if (!pending->stored.workspace.empty()) {
     r.fields.push_back(
-      { std::string{ workspace_header }, a->stored.workspace });
+      { std::string{ workspace_header }, pending->stored.workspace });
   }
   r.body = request.body;
   http::exchange_options o;
@@ -145,86 +147,88 @@
     to.address,
     r,
     o,
-    [self = shared_from_this(), a, to](http::end_state end,
-                                       http::response&& answered) {
+    [self = shared_from_this(), pending, to](http::end_state end,
+                                             http::response&& answered) {
       process::log_line(
         timeline::event{ "batch_forwarded" }
-          .with("batch", a->id)
+          .with("batch", pending->id)
           .with("to", to.instance)
           .with("end", http::name_of(end))
           .with("status", static_cast<std::uint64_t>(answered.status)));
       const bool complete = end == http::end_state::complete;
       if (complete && answered.status != status_misdirected) {
-        a->caller.respond(answered.status == status_unavailable
-                            ? retry_later(self->deps.dialect)
-                            : answer(answered.status));
+        pending->caller.respond(answered.status == status_unavailable
+                                  ? retry_later(self->deps.dialect)
+                                  : answer(answered.status));
         return;
       }
-      a->write_unknown = !complete && end != http::end_state::not_sent;
-      self->accept_locally(a);
+      pending->write_unknown = !complete && end != http::end_state::not_sent;
+      self->accept_locally(pending);
     });
 }
 
 // Writes the parts first and the batch object last: a batch exists once its
 // object is stored.
 void
-manager::impl::accept_locally(const std::shared_ptr<pending_submission>& a)
+manager::impl::accept_locally(
+  const std::shared_ptr<pending_submission>& pending)
 {
-  const auto& body = a->caller.request().body;
+  const auto& body = pending->caller.request().body;
   auto submission = deps.dialect.submission_from(body);
-  if (!submission || a->id.empty()) {
-    a->caller.respond(answer(400));
+  if (!submission || pending->id.empty()) {
+    pending->caller.respond(answer(400));
     return;
   }
-  a->parts = split_parts(body, part_bytes);
-  a->stored.items = submission->items.size();
-  a->stored.parts = a->parts.size();
-  a->submission = std::move(*submission);
-  accepting[a->id] = a;
-  write_parts(a);
+  pending->parts = split_parts(body, part_bytes);
+  pending->stored.items = submission->items.size();
+  pending->stored.parts = pending->parts.size();
+  pending->submission = std::move(*submission);
+  accepting[pending->id] = pending;
+  write_parts(pending);
 }
 
 // Writes the next part. A part that already exists was written by an earlier
 // attempt at the same submission.
 void
-manager::impl::write_parts(const std::shared_ptr<pending_submission>& a)
+manager::impl::write_parts(const std::shared_ptr<pending_submission>& pending)
 {
-  if (a->next_part == a->parts.size()) {
-    write_batch_object(a);
+  if (pending->next_part == pending->parts.size()) {
+    write_batch_object(pending);
     return;
   }
   store::call c;
   c.op = store::operation::create;
   c.kind = part_kind;
-  c.name = part_name(a->id, a->next_part);
-  c.body = encode_part(a->parts[a->next_part]);
-  deps.store.perform(c, [self = shared_from_this(), a](store::reply&& r) {
+  c.name = part_name(pending->id, pending->next_part);
+  c.body = encode_part(pending->parts[pending->next_part]);
+  deps.store.perform(c, [self = shared_from_this(), pending](store::reply&& r) {
     const bool is_stored = r.result == store::call_result::done ||
                            r.result == store::call_result::conflict;
     if (!is_stored) {
-      self->retry_acceptance(a, &impl::write_parts);
+      self->retry_acceptance(pending, &impl::write_parts);
       return;
     }
-    ++a->next_part;
-    self->write_parts(a);
+    ++pending->next_part;
+    self->write_parts(pending);
   });
 }
 
 void
-manager::impl::write_batch_object(const std::shared_ptr<pending_submission>& a)
+manager::impl::write_batch_object(
+  const std::shared_ptr<pending_submission>& pending)
 {
   // An instance that is shutting down accepts batches for others to run.
   const auto owner = leaving ? membership::member{} : this_member();
-  a->stored.owner = owner.instance;
-  a->stored.owner_address = owner.address;
-  a->stored.owner_capacity = owner.capacity;
+  pending->stored.owner = owner.instance;
+  pending->stored.owner_address = owner.address;
+  pending->stored.owner_capacity = owner.capacity;
   store::call c;
   c.op = store::operation::create;
   c.kind = batch_kind;
-  c.name = a->id;
-  c.body = encode_spec(a->stored);
-  deps.store.perform(c, [self = shared_from_this(), a](store::reply&& r) {
-    self->on_batch_object_written(a, r);
+  c.name = pending->id;
+  c.body = encode_spec(pending->stored);
+  deps.store.perform(c, [self = shared_from_this(), pending](store::reply&& r) {
+    self->on_batch_object_written(pending, r);
   });
 }
 
@@ -265,52 +269,52 @@
 
 void
 manager::impl::on_batch_object_written(
-  const std::shared_ptr<pending_submission>& a,
+  const std::shared_ptr<pending_submission>& pending,
   const store::reply& r)
 {
   const bool accepted = r.result == store::call_result::done ||
                         r.result == store::call_result::conflict;
   if (!accepted) {
-    a->write_unknown =
-      a->write_unknown || r.result == store::call_result::unknown;
-    retry_acceptance(a, &impl::write_batch_object);
+    pending->write_unknown =
+      pending->write_unknown || r.result == store::call_result::unknown;
+    retry_acceptance(pending, &impl::write_batch_object);
     return;
   }
   for (const auto& o : r.items) {
     apply_stored_batch(o);
   }
-  accepting.erase(a->id);
+  accepting.erase(pending->id);
   const bool created = r.result == store::call_result::done;
-  if (auto* b = find_batch(a->id)) {
-    own_if_assigned(*b, created && !r.after_unknown && !a->write_unknown);
+  if (auto* b = find_batch(pending->id)) {
+    own_if_assigned(*b, created && !r.after_unknown && !pending->write_unknown);
   }
   process::log_line(timeline::event{ "batch_accepted" }
-                      .with("batch", a->id)
-                      .with("workspace", a->stored.workspace)
+                      .with("batch", pending->id)
+                      .with("workspace", pending->stored.workspace)
                       .with("verdict", store::name_of(r.result)));
-  const auto* b = find_batch(a->id);
-  a->caller.respond(b == nullptr
-                      ? answer(202)
-                      : answer_duplicate(b->stored, a->stored.workspace));
+  const auto* b = find_batch(pending->id);
+  pending->caller.respond(
+    b == nullptr ? answer(202)
+                 : answer_duplicate(b->stored, pending->stored.workspace));
 }
 
 // Retries a step of the acceptance until the caller's time is nearly up. The
 // objects are created at most once, even if answers are lost.
 void
 manager::impl::retry_acceptance(
-  const std::shared_ptr<pending_submission>& a,
+  const std::shared_ptr<pending_submission>& pending,
   void (impl::*step)(const std::shared_ptr<pending_submission>&))
 {
-  if (http::now_ms() >= a->give_up_ms || !a->caller.is_open()) {
-    refuse(*a);
+  if (http::now_ms() >= pending->give_up_ms || !pending->caller.is_open()) {
+    refuse(*pending);
     return;
   }
   auto wait = std::make_shared<asio::steady_timer>(
     deps.io, std::chrono::milliseconds{ failed_pause_ms });
   wait->async_wait(
-    [self = shared_from_this(), a, step, wait](asio::error_code ec) {
+    [self = shared_from_this(), pending, step, wait](asio::error_code ec) {
       if (!ec) {
-        ((*self).*step)(a);
+        ((*self).*step)(pending);
       }
     });
 }
@@ -318,15 +322,16 @@
 // A 503 response promises that no item will run. That is impossible if a write
 // of the batch object got no answer; parts alone do not run anything.
 void
-manager::impl::refuse(const pending_submission& a)
+manager::impl::refuse(const pending_submission& pending)
 {
   process::log_line(timeline::event{ "batch_refused" }
-                      .with("batch", a.id)
-                      .with("parts", a.next_part)
-                      .with("unknown", a.write_unknown ? 1U : 0U));
-  a.caller.respond(a.write_unknown ? answer(504) : retry_later(deps.dialect));
-  remove_orphaned_parts(a.id, a.parts.size());
-  accepting.erase(a.id);
+                      .with("batch", pending.id)
+                      .with("parts", pending.next_part)
+                      .with("unknown", pending.write_unknown ? 1U : 0U));
+  pending.caller.respond(pending.write_unknown ? answer(504)
+                                               : retry_later(deps.dialect));
+  remove_orphaned_parts(pending.id, pending.parts.size());
+  accepting.erase(pending.id);
 }
 
 // Removes the parts of a refused batch after the retention time, unless the
@@ -343,8 +348,8 @@
       if (ec) {
         return;
       }
-      self->lookup(id, [self, id, parts](batch_state* b, bool sure) {
-        if (b == nullptr && sure) {
+      self->lookup(id, [self, id, parts](batch_state* b, bool store_answered) {
+        if (b == nullptr && store_answered) {
           self->remove_parts(id, 0, parts, [](bool) {});
         }
       });
