--- a/tests/path-test.cc
+++ b/tests/path-test.cc
@@ -1,4 +1,4 @@
-// The whole path, as real processes on loopback.
+// Tests the whole request path with real processes on the loopback interface.
 
 #include "cactusford/testing/section.h"
 #include "tests/fixture.h"
@@ -26,10 +26,10 @@
 Test(path, a_request_is_served_end_to_end, .timeout = 120)
 {
   standins::fleet fleet{ small_fleet("path") };
-  start_served(fleet);
-  auto c = client_of(fleet, "entry-0");
+  start_and_wait_until_served(fleet);
+  auto c = client_for(fleet, "entry-0");
   int status = 0;
-  SECTION("a completion comes whole")
+  SECTION("a completion is answered as a whole")
   {
     const auto j = post(c,
                         "/v1/completions",
@@ -41,7 +41,7 @@
     cr_assert_eq(j["usage"]["completion_tokens"], 12);
     cr_assert_eq(j["choices"][0]["weight_version"], 1);
   }
-  SECTION("and as a stream")
+  SECTION("a completion is streamed")
   {
     const auto r = c.Post("/v1/completions",
                           json{ { "model", "planner-lm" },
@@ -58,7 +58,7 @@
     const httplib::Headers key{ { "Idempotency-Key", process::new_id() } };
     const auto first =
       c.Post("/service/orders-app/book", key, "beef", "text/plain");
-    auto other = client_of(fleet, "entry-1");
+    auto other = client_for(fleet, "entry-1");
     const auto second =
       other.Post("/service/orders-app/book", key, "beef", "text/plain");
     cr_assert(first && second);
@@ -66,7 +66,7 @@
     cr_assert(first->body == second->body);
     cr_assert(second->get_header_value("Idempotent-Replayed") == "true");
   }
-  SECTION("bad input gets a typed error that says not run")
+  SECTION("invalid input gets a typed error with outcome not_run")
   {
     const auto bad = post(c, "/v1/completions", { { "model", 7 } }, status);
     cr_assert_eq(status, 400);
@@ -80,10 +80,10 @@
                           "x",
                           "text/plain");
     cr_assert(r && r->status == 400);
-    const auto nowhere = c.Get("/nowhere");
-    cr_assert(nowhere && nowhere->status == 404);
+    const auto unknown_path = c.Get("/nowhere");
+    cr_assert(unknown_path && unknown_path->status == 404);
   }
-  SECTION("a step is delivered, and its weights go out")
+  SECTION("a training step is delivered and its weights are published")
   {
     fleet.start_trainers(1);
     cr_assert_eq(fleet.wait_exit("trainers", 60000), 0);
@@ -92,7 +92,7 @@
     cr_assert(
       text.find(R"("version":2)") != std::string::npos, "%s", text.c_str());
   }
-  SECTION("the operator sees all processes")
+  SECTION("the status command lists all processes")
   {
     const auto [code, text] = fleet.operate({ "status" });
     cr_assert_eq(code, 0);
@@ -101,12 +101,12 @@
   }
 }
 
-// Two operators change the same object. The second builds on a version that
-// is no longer the newest: applying it would silently undo the first.
+// Two operators change the same object. The second one's change is based on an
+// older version: applying it would silently undo the first change.
 Test(path, racing_operators_get_a_conflict, .timeout = 120)
 {
   standins::fleet fleet{ small_fleet("race") };
-  start_served(fleet);
+  start_and_wait_until_served(fleet);
   const json spec{ { "model", "planner-lm" }, { "share", 0.5 } };
   cr_assert(fleet.apply("trainer", "plans", spec).empty());
   const auto file = fleet.folder() + "/declare-trainer-plans-a.json";
@@ -120,7 +120,7 @@
   cr_assert(text.find("cactusford get") != std::string::npos);
 }
 
-Test(settings, a_wrong_file_ends_the_start_with_one_line, .timeout = 60)
+Test(settings, an_invalid_file_stops_the_start_with_one_line, .timeout = 60)
 {
   const auto folder = std::string{ CACTUSFORD_BINARY } + "/tests";
   const auto program =
@@ -135,7 +135,7 @@
     std::getline(in, line);
     return std::pair{ WEXITSTATUS(status), line };
   };
-  const auto whole = [](const std::string& extra) {
+  const auto settings_with = [](const std::string& extra) {
     return R"({"instance":"e","data_centre":"d","link":"127.0.0.1:0",
       "admin":"127.0.0.1:0","platform":"127.0.0.1:1","http":"127.0.0.1:0",
       "rpc":"127.0.0.1:0")" +
@@ -147,26 +147,26 @@
     cr_assert_eq(code, 2);
     cr_assert(line.find("not JSON") != std::string::npos, "%s", line.c_str());
   }
-  SECTION("an unknown key is named")
+  SECTION("the message names an unknown key")
   {
-    const auto [code, line] = run(whole(R"(,"lease_s":5)"));
+    const auto [code, line] = run(settings_with(R"(,"lease_s":5)"));
     cr_assert_eq(code, 2);
     cr_assert(line.find("lease_s") != std::string::npos, "%s", line.c_str());
   }
-  SECTION("a wrong unit is named")
+  SECTION("the message names a key with a wrong unit")
   {
-    const auto [code, line] = run(whole(R"(,"lease_ms":"5s")"));
+    const auto [code, line] = run(settings_with(R"(,"lease_ms":"5s")"));
     cr_assert_eq(code, 2);
     cr_assert(line.find("lease_ms") != std::string::npos, "%s", line.c_str());
   }
-  SECTION("a port in use is named")
+  SECTION("the message names the key of a port in use")
   {
     asio::io_context io;
-    link::endpoint taken{ io, {} };
+    link::endpoint other_endpoint{ io, {} };
     link::address bound;
-    taken.listen(
+    other_endpoint.listen(
       { "127.0.0.1", 0 }, [](const auto&) {}, bound);
-    auto text = whole("");
+    auto text = settings_with("");
     text.replace(text.find("127.0.0.1:0"), 11, link::to_string(bound));
     const auto [code, line] = run(text);
     cr_assert_eq(code, 2);
