--- a/cactusford/calls/assembly.h
+++ b/cactusford/calls/assembly.h
@@ -1,5 +1,5 @@
 // Checks that the frames of one attempt arrive whole and in order, and verifies
-// the final count and checksum. Has no side effects.
+// the final count and checksum. Does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/cactusford/calls/home.h
+++ b/cactusford/calls/home.h
@@ -1,5 +1,5 @@
 // Finds the home of an idempotency key: the instance that keeps the key's
-// at-most-once record. Has no side effects.
+// at-most-once record. Does no I/O.
 #pragma once
 
 #include "cactusford/configuration/declaration.h"
--- a/cactusford/calls/home_plan.h
+++ b/cactusford/calls/home_plan.h
@@ -1,4 +1,4 @@
-// Computes the next home map of a service. Has no side effects.
+// Computes the next home map of a service. Does no I/O and reads no clock.
 #pragma once
 
 #include "cactusford/configuration/declaration.h"
--- a/cactusford/calls/key_ownership-test.cc
+++ b/cactusford/calls/key_ownership-test.cc
@@ -434,7 +434,7 @@
 // A home crashes, and a new process of the same name joins. It has no record of
 // the crashed incarnation's keys, so its handover reply must not count for that
 // incarnation.
-Test(key_ownership, a_restarted_home_does_not_vouch_for_its_predecessor)
+Test(key_ownership, a_restarted_home_cannot_answer_for_its_crashed_process)
 {
   cr_assert(
     run_schedule({ { 14, 3, 0 }, { 14, 1, 0 } }, disabled_safeguard::none)
--- a/cactusford/calls/key_ownership.cc
+++ b/cactusford/calls/key_ownership.cc
@@ -47,7 +47,7 @@
 {
   // Member name or incarnation id, as in `pending_handovers`.
   std::string instance;
-  // Used as the ownership time when the instance cannot be reached.
+  // Lower bound of the ownership time when the instance cannot be reached.
   std::uint64_t until_ms = 0;
 };
 
--- a/cactusford/calls/key_ownership.h
+++ b/cactusford/calls/key_ownership.h
@@ -1,7 +1,7 @@
 // Decides whether a home may run a key: only once no earlier home can have run
-// it or still run it. Has no side effects; `wall` times are milliseconds since
-// 1970, `steady` times are of this process's steady clock. The protocol and its
-// proof are in docs/AT-MOST-ONCE.md.
+// it or still run it. Does no I/O and reads no clock; `wall` times are
+// milliseconds since 1970, `steady` times are of this process's steady clock.
+// The protocol and its proof are in docs/AT-MOST-ONCE.md.
 #pragma once
 
 #include "cactusford/calls/home.h"
--- a/cactusford/calls/record.h
+++ b/cactusford/calls/record.h
@@ -1,5 +1,6 @@
-// The at-most-once record of a home: the state of each idempotency key. Has no
-// side effects; times are milliseconds since 1970. See docs/AT-MOST-ONCE.md.
+// The at-most-once record of a home: the state of each idempotency key. Does no
+// I/O and reads no clock; times are milliseconds since 1970. See
+// docs/AT-MOST-ONCE.md.
 #pragma once
 
 #include "cactusford/error.h"
@@ -67,7 +68,8 @@
 {
   entry_state state = entry_state::running;
   std::uint64_t issued_ms = 0;
-  // Detects callers that reuse a key for a different request.
+  // Hash of the request. A different request with the same key is a caller's
+  // mistake.
   std::uint64_t fingerprint = 0;
   stored_answer_ptr answer;
 };
