--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-// Of the view of the lease. The store answers a watch that waits after two
-// seconds at most.
+// Maximum age of the view of the lease. The store answers a waiting watch after
+// two seconds at most.
 constexpr std::uint64_t view_age_limit_ms = 3000;
 
-// Half a second each in the order of takeovers: the largest instances first,
-// and equal ones apart by their names.
+// Order of candidates in a takeover, half a second apart per rank: the largest
+// instances come first, and instances of equal size are spread by name.
 std::uint32_t
 rank_of(const duty_settings& s)
 {
@@ -80,7 +80,7 @@
   }
 }
 
-// What the watch shows may be older than what this instance has written.
+// The watch may return an older state than this instance has written.
 void
 duty::take(const store::object& o)
 {
@@ -130,8 +130,8 @@
   return ownership::may_act(keeper_, http::boot_ms());
 }
 
-// While the store is away no renewal is seen, and nobody can take over: all
-// candidates would try at once, again and again.
+// While the store is unreachable no renewal is visible, and nobody can take
+// over: all candidates would try at once, again and again.
 void
 duty::tick()
 {
@@ -155,7 +155,8 @@
   }
 }
 
-// Only what the watch does not show is read by a call of its own.
+// The watch provides the lease; a separate call is made only while its state is
+// unknown.
 void
 duty::read()
 {
@@ -194,10 +195,11 @@
   c.revision = keeper_.seen.version;
   c.body = { { "holder", is_release ? "" : settings_.instance },
              { "address", is_release ? "" : settings_.address },
-             // That of the acquiring write is its revision.
+             // 0 in the acquiring write, whose fencing token is its revision.
              { "fence", is_renewal ? keeper_.seen.fence : 0 },
              { "progress", progress_ },
-             // A write that changes nothing is no renewal to the store.
+             // Changes with each write: the store does not count a write
+             // without changes as a renewal.
              { "renewal", ++renewals_ } };
   store_.perform(c, [this, alive = alive_, a](store::reply&& r) {
     on_written(a, std::move(r));
--- a/cactusford/duties/duty.h
+++ b/cactusford/duties/duty.h
@@ -1,6 +1,7 @@
-// A duty of the whole deployment, held by one instance at a time: a lease
-// object in the platform's store. Whoever holds it acts with the lease's
-// fencing number, and stops before the lease can be another's.
+// A singleton task of the whole deployment, performed by one instance at a
+// time, its holder. The holder is elected by a lease object in the platform's
+// store. It acts with the lease's fencing token, and stops before another
+// instance can acquire the lease.
 #pragma once
 
 #include "cactusford/ownership/lease.h"
@@ -14,18 +15,18 @@
 
 namespace cactusford::duties {
 
-// The kind of lease objects in the store; each duty has one of its name.
+// The kind of lease objects in the store. Each duty has one, under its name.
 constexpr std::string_view duty_kind = "duties";
 
 struct duty_settings
 {
   std::string name;
   std::string instance;
-  // Where other instances reach this one.
+  // Address at which other instances reach this one.
   std::string address;
-  // Its share of a core: smaller instances leave the duty to larger ones.
+  // Share of a core: smaller instances leave the duty to larger ones.
   double capacity = 1;
-  // A holder that is gone is replaced after this.
+  // A holder that has crashed is replaced after this time.
   std::uint32_t duration_ms = 4000;
 };
 
@@ -33,7 +34,7 @@
 {
   std::string instance;
   std::string address;
-  // How far the duty is done, as the holder counts.
+  // Progress of the duty, in units that the holder chooses.
   std::uint64_t progress = 0;
 
   friend bool operator==(const holder&, const holder&) = default;
@@ -44,29 +45,31 @@
 public:
   duty(store::client& store, duty_settings s);
 
-  // From the watch of the kind: the lease as it stands, null if there is none,
-  // and that the store has confirmed it.
+  // Called by the watch of the kind: with the lease object, or null if there is
+  // none, and when the store has confirmed the view.
   void on_lease(const store::object* o);
   void on_confirmed();
 
-  // Takes the next step, if one is due.
+  // Performs the next action of the lease, if one is due.
   void tick();
 
   bool may_act() const;
   bool is_held() const { return keeper_.held; }
   std::uint64_t fence() const { return keeper_.seen.fence; }
 
-  // Who holds it, as last read; no instance if nobody does.
+  // The holder as last read; its `instance` is empty if there is none.
   const holder& held_by() const { return holder_; }
 
-  // Written with the next renewal; `recorded` is what a renewal has written.
+  // Sets the progress that the next renewal writes; `recorded` returns the
+  // progress that the store has recorded.
   void note_progress(std::uint64_t progress) { progress_ = progress; }
   std::uint64_t recorded() const { return recorded_; }
 
-  // Somebody acted with a higher fencing number.
+  // Gives up the duty, as another instance acted with a newer fencing token.
   void step_down(std::string_view why);
 
-  // Hands it over: another instance need not wait for the lease to run out.
+  // Releases the lease, so that another instance need not wait until it
+  // expires.
   void leave();
   bool has_left() const;
 
--- a/cactusford/membership/directory-test.cc
+++ b/cactusford/membership/directory-test.cc
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// 58 entries, 18 of them large. Whoever accepts a step knows some of the large
-// ones without asking the store.
+// 58 entries, 18 of them large. Whoever accepts a step must know some of the
+// large ones without asking the store.
 Test(directory, names_the_largest_that_live)
 {
   directory d;
--- a/cactusford/membership/directory.h
+++ b/cactusford/membership/directory.h
@@ -1,9 +1,10 @@
-// Entries that this instance has heard of. Pure: time is passed in.
+// The entries that this instance has heard from. Pure functions: the current
+// time is a parameter.
 //
 // Entries differ in size by a factor of five, and only the relays hear from all
-// of them: each shared watch comes through one. An entry tells of itself beside
-// its watches, twice a second at most, and hears of the largest ones with the
-// answer: some hundred bytes, and no call to the store.
+// of them, as each shared watch goes through a relay. An entry piggybacks its
+// own description on its watches, at most twice a second, and the reply lists
+// the largest entries. That is some hundred bytes, and no call to the store.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -19,9 +20,9 @@
 struct member
 {
   std::string instance;
-  // Where other instances reach it.
+  // Address at which other instances reach it.
   std::string address;
-  // Its share of a core; 0: it takes no work.
+  // Share of a core; 0 if it accepts no work.
   double capacity = 0;
   // When its process started, by its own time of day.
   std::uint64_t started_ms = 0;
@@ -29,9 +30,9 @@
   friend bool operator==(const member&, const member&) = default;
 };
 
-// How long a member counts as alive after it was heard of, in milliseconds. A
-// watch is held for a second; one that is gone costs a submission that is sent
-// there one refused connection.
+// How long a member counts as alive after its last message, in milliseconds. A
+// watch is held for a second. A member that is gone costs a submission sent to
+// it one refused connection.
 constexpr std::uint64_t heard_for_ms = 2000;
 
 struct directory
@@ -48,24 +49,24 @@
   friend bool operator==(const directory&, const directory&) = default;
 };
 
-// A member was heard of; one without capacity is left out from now on.
+// Records a message of a member; a member without capacity is removed.
 void
 note(directory& d, const member& m, std::uint64_t now_ms);
 
-// The members heard of lately, by falling capacity; of equal ones the youngest
-// first. Planned restarts come one after the other: who was started last will
-// not be stopped next.
+// Returns the members that are alive, sorted by descending capacity; of equal
+// ones the most recently started first. Planned restarts happen one after the
+// other, so the member that started last will not be stopped next.
 std::vector<member>
 largest(const directory& d, std::size_t most, std::uint64_t now_ms);
 
-// How many of the members have a lesser name.
+// Returns the number of members whose name sorts before this one.
 std::uint32_t
 rank_of(const directory& d, const std::string& instance);
 
 nlohmann::json
 encode(const std::vector<member>& members);
 
-// Members that can't be read are left out.
+// Skips members that can't be decoded.
 std::vector<member>
 members_from(const nlohmann::json& j);
 
--- a/cactusford/ownership/lease-test.cc
+++ b/cactusford/ownership/lease-test.cc
@@ -21,7 +21,7 @@
   return k;
 }
 
-// The platform's conditional write.
+// Simulates the platform's conditional write.
 bool
 write(lease& stored, keeper& k, action a, std::uint64_t now)
 {
@@ -39,9 +39,9 @@
 
 } // namespace
 
-// The owner is paused for longer than its lease, and another entry takes
-// over. The first wakes up and believes that it still holds the lease: its
-// next write conflicts, and until then its fencing number is the older one.
+// The owner is paused for longer than its lease, and another entry takes over.
+// When the owner resumes, it believes that it still holds the lease: its next
+// write conflicts, and until then its fencing token is the older one.
 Test(lease, a_paused_owner_loses_to_a_newer_fence)
 {
   lease stored;
@@ -75,8 +75,8 @@
   }
 }
 
-// The store answers a holder no more, and takes its lease as run out: another
-// instance takes over and acts. The holder hears nothing of that, and must have
+// The store stops answering a holder, and its lease expires: another instance
+// takes over and acts. The holder does not learn of that, so it must have
 // stopped by then, by its own clock.
 Test(lease, a_holder_stops_before_another_can_begin)
 {
@@ -117,8 +117,8 @@
   }
 }
 
-// The platform is down for longer than any lease. Nobody can take over, so
-// the holder goes on; a candidate must not trust what it saw before.
+// The platform is down for longer than any lease. Nobody can take over, so the
+// holder continues; a candidate must not trust what it read before the outage.
 Test(lease, an_outage_changes_no_owner)
 {
   lease stored;
@@ -133,8 +133,9 @@
   }
 }
 
-// Any interleaving of reads, writes, lost answers and pauses: fences grow
-// with every change of owner, and the newest fence belongs to one keeper.
+// For any interleaving of reads, writes, lost answers and pauses: fencing
+// tokens grow with every change of owner, and the newest one belongs to a
+// single client.
 Test(lease, property_fences_only_grow)
 {
   const bool ok = rc::check("fences only grow", [] {
--- a/cactusford/ownership/lease.cc
+++ b/cactusford/ownership/lease.cc
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::uint32_t polls_per_lease = 3;
-// Later ranks hold back, so that two seldom write at once. Should they, the
-// conditional write lets one of them through.
+// Candidates of a later rank wait longer, so that two rarely write at once. If
+// they do, the conditional write lets only one succeed.
 constexpr std::uint64_t rank_delay_ms = 500;
 
-// A call that is begun before the lease runs out arrives within this time.
+// A call that is sent before the lease expires arrives within this time.
 constexpr std::uint64_t act_margin_ms = 500;
 
 bool
@@ -103,8 +103,8 @@
   k.busy = false;
   k.polled_ms = now_ms;
   k.renewed_ms = now_ms;
-  // A write may have taken effect with its answer lost: the version that was
-  // seen proves nothing any more.
+  // The write may have taken effect although its answer was lost, so the
+  // version read before is not reliable any more.
   if (!k.held) {
     k.has_seen = false;
   }
@@ -134,7 +134,8 @@
     l.holder = j.value("holder", std::string{});
     l.fence = j.value("fence", std::uint64_t{ 0 });
   }
-  // The acquiring write could not know its own version.
+  // The acquiring write is stored before its version, and so its fencing token,
+  // is known.
   if (l.fence == 0) {
     l.fence = version;
   }
--- a/cactusford/ownership/lease.h
+++ b/cactusford/ownership/lease.h
@@ -1,6 +1,6 @@
-// Who owns a trainer, or holds a duty: a lease object in the platform, with a
-// fencing number. Pure; times are milliseconds of a steady clock. See
-// docs/OWNERSHIP.md.
+// A lease object in the platform that determines which instance owns a trainer
+// or holds a duty. It carries a fencing token. Pure functions; times are
+// milliseconds of a steady clock. See docs/OWNERSHIP.md.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace cactusford::ownership {
 
-// The lease object as last read. The fencing number is the version of the
-// write that acquired it, so it grows with every change of the owner.
+// The lease object as last read. The fencing token is the version of the write
+// that acquired the lease, so it grows with every change of owner.
 struct lease
 {
   std::uint64_t version = 0;
-  // Empty when released.
+  // Empty if the lease was released.
   std::string holder;
   std::uint64_t fence = 0;
 
@@ -27,11 +27,12 @@
   // Position among the entries that may own this trainer.
   std::uint32_t rank = 0;
   lease seen;
-  // When `seen.version` was first read, by this process's own clock: clocks
-  // of two processes are never compared.
+  // When `seen.version` was first read, by this process's own clock: clocks of
+  // different processes are never compared.
   std::uint64_t seen_ms = 0;
   std::uint64_t renewed_ms = 0;
-  // When the write under way began, and the last one that took effect.
+  // When the write in flight was sent, and when the last successful write was
+  // sent.
   std::uint64_t begun_ms = 0;
   std::uint64_t confirmed_ms = 0;
   std::uint64_t polled_ms = 0;
@@ -52,14 +53,14 @@
   release,
 };
 
-// The next step, noted as begun. `holder_listed` says whether the platform's
-// list still holds the present holder.
+// Returns the next action and records that it has started. `holder_listed`: the
+// platform's list still contains the current holder.
 action
 begin(keeper& k, bool holder_listed, std::uint64_t now_ms);
 
-// True while nobody else can have taken over: a candidate waits for the whole
-// duration after it has seen the last write, which is later than the moment at
-// which that write was begun here.
+// Returns true while nobody else can have taken over. A candidate waits for the
+// whole lease duration after it has seen the last write, which is later than
+// the time at which this client sent that write.
 bool
 may_act(const keeper& k, std::uint64_t now_ms);
 
@@ -71,12 +72,12 @@
 void
 on_written(keeper& k, action a, std::uint64_t version, std::uint64_t now_ms);
 
-// The platform does not answer: nobody can take over either, so a holder
-// remains one.
+// The platform does not answer. Nobody can take over either, so a holder keeps
+// the lease.
 void
 on_unavailable(keeper& k, std::uint64_t now_ms);
 
-// Somebody else wrote.
+// Another client wrote the lease.
 void
 on_conflict(keeper& k);
 
--- a/cactusford/usage/counts-test.cc
+++ b/cactusford/usage/counts-test.cc
@@ -22,9 +22,9 @@
 
 } // namespace
 
-// Entries tell what they have counted so far, again and again. Messages come
-// twice and overtake each other, an entry starts anew with nothing in memory,
-// and a new holder hears it all from the start.
+// Entries send what they have counted so far, again and again. Messages may
+// arrive twice or out of order, an entry may restart with empty counts, and a
+// new holder receives everything again.
 Test(usage, adds_up_what_entries_tell)
 {
   collection c;
@@ -97,8 +97,8 @@
   cr_assert_not(told_counts_from(json{ { "instance", "a" } }).has_value());
 }
 
-// A clock jumps ahead by two seconds and back after twenty. Requests of these
-// seconds belong to the windows of the clock before.
+// A clock jumps ahead by two seconds and back after twenty. Requests made
+// meanwhile must be counted in the windows that the unchanged clock would give.
 Test(usage, a_step_of_the_clock_moves_no_window)
 {
   constexpr std::uint64_t day = 1'700'000'000'000;
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// A larger message is another writer's mistake.
+// A larger message is the fault of whoever sent it.
 constexpr std::size_t most_workspaces = 20000;
 
 } // namespace
--- a/cactusford/usage/counts.h
+++ b/cactusford/usage/counts.h
@@ -1,9 +1,10 @@
-// How many requests of each workspace began to run in each window of time.
-// Pure.
+// Counts the requests of each workspace that started to run in each time
+// window. Pure functions.
 //
-// Each entry counts its own, and tells the instance that holds the duty of
-// reporting them. It tells the whole count of every window that is still open,
-// so that a message that comes twice, late or to a new holder adds nothing.
+// Each entry counts its own requests and sends the counts to the instance that
+// holds the duty of reporting them. It sends the total of every window that is
+// still open, so that a message that arrives twice, late or at a new holder
+// changes nothing.
 #pragma once
 
 #include "cactusford/store/fields.h"
@@ -18,31 +19,31 @@
 
 namespace cactusford::usage {
 
-// Requests by workspace.
+// Number of requests by workspace.
 using counts = std::map<std::string, std::uint64_t>;
 
-// Counts by the number of the window: window k begins k times its length after
-// the start of 1970.
+// Counts by window number. Window k begins k window lengths after the Unix
+// epoch.
 using windows = std::map<std::uint64_t, counts>;
 
-// Windows kept: two minutes of five seconds each. What waits longer for the
-// platform is given up.
+// Maximum number of windows kept: two minutes of five seconds each. Older
+// windows that still wait for the platform are dropped.
 constexpr std::size_t most_windows = 24;
 
-// A request of the workspace began to run in that window. Drops the oldest
-// window when there are too many; returns its number, or nothing.
+// Counts a request of the workspace that started to run in that window. Drops
+// the oldest window if there are too many and returns its number.
 std::optional<std::uint64_t>
 note(windows& w, std::uint64_t number, const std::string& workspace);
 
-// Drops all windows up to this one.
+// Drops all windows up to and including this one.
 void
 close_until(windows& w, std::uint64_t number);
 
-// What one life of an instance has counted.
+// The counts of one incarnation of an instance.
 struct told_counts
 {
   std::string instance;
-  // When its process started: the counts of each life are its own.
+  // Start time of the process: each incarnation counts from zero.
   std::uint64_t started_ms = 0;
   windows open;
 
@@ -61,7 +62,7 @@
 store::decoded<counts>
 counts_from(const nlohmann::json& j);
 
-// What the holder has heard from all.
+// The counts that the holder has received from all instances.
 struct collection
 {
   std::map<std::string, std::map<std::uint64_t, windows>> by_instance;
@@ -69,7 +70,8 @@
   friend bool operator==(const collection&, const collection&) = default;
 };
 
-// A count never falls while its window is open: the larger one holds.
+// Keeps the larger value of each count: a count never decreases while its
+// window is open.
 void
 take(collection& c, const told_counts& t);
 
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -15,22 +15,24 @@
 
 constexpr std::uint64_t tick_ms = 200;
 
-// Counts are told this often while they change: what an entry that is killed
-// takes with it is a second's requests of one entry.
+// Interval at which changed counts are sent: a crashed entry loses at most one
+// second of its requests.
 constexpr std::uint64_t tell_ms = 1000;
 constexpr std::uint64_t tell_timeout_ms = 800;
 
-// After the end of a window its last requests end, and their counts arrive.
+// Delay after the end of a window, in which its last requests end and their
+// counts arrive.
 constexpr std::uint64_t settle_ms = 3500;
 
-// A new holder hears within this time from all instances.
+// A new holder receives the counts of all instances within this time.
 constexpr std::uint64_t hear_all_ms = 1400;
 
-// Calls to the platform, and pauses between them while it is away.
+// Timeout of calls to the platform, and the pause between them while it is
+// unavailable.
 constexpr std::uint64_t send_timeout_ms = 1500;
 constexpr std::uint64_t retry_ms = 500;
 
-// What the platform has not taken by then is given up.
+// A window that the platform has not accepted by then is given up.
 constexpr std::uint64_t give_up_ms = 90000;
 
 // How long the store may hold the watch of the leases.
@@ -138,7 +140,8 @@
   close_until(collected_, duty_.recorded());
 }
 
-// A new holder is told everything that is still open.
+// Sends the open windows to the holder. A new holder receives them even if they
+// have not changed.
 void
 meter::tell()
 {
@@ -179,8 +182,8 @@
               });
 }
 
-// Also an instance that has just lost the duty takes them in: it may hold it
-// again.
+// An instance that has just lost the duty also accepts counts: it may acquire
+// the duty again.
 void
 meter::on_peer(const http::call& c)
 {
@@ -197,7 +200,7 @@
   c.respond(std::move(a));
 }
 
-// The holder's next step.
+// As the holder, performs the next step of reporting.
 void
 meter::advance()
 {
@@ -228,8 +231,8 @@
   }
 }
 
-// What an earlier holder has fixed is sent as it stands, and what it has
-// reported is left alone.
+// Windows that an earlier holder has fixed are sent unchanged, and windows that
+// it has reported are skipped.
 void
 meter::learn_fixed()
 {
@@ -284,8 +287,8 @@
   });
 }
 
-// On a conflict an earlier holder, or a lost write of our own, has fixed it:
-// what stands is what is sent.
+// On a conflict, an earlier holder or a lost write of this instance has fixed
+// the window: the stored counts are the ones to send.
 void
 meter::on_fixed(fixed_window&& w, store::reply&& r)
 {
@@ -315,7 +318,7 @@
   busy_ = true;
   http::exchange_options o;
   o.timeout_ms = send_timeout_ms;
-  // Carried out late it would do no harm, but the connection may be dead.
+  // Late execution would be harmless, but the connection may be dead.
   o.reset_when_given_up = true;
   const auto request = dialect_.usage_request(
     { w.number, w.value, settings_.instance, duty_.fence() });
@@ -374,8 +377,9 @@
   next_ = number + 1;
 }
 
-// Removed before the lease tells that it is done, a window could be fixed again
-// by another holder, with other counts.
+// Waits until the lease has recorded that the window is done. If its object
+// were removed earlier, another holder could fix the window again with other
+// counts.
 void
 meter::remove_recorded()
 {
--- a/cactusford/usage/meter.h
+++ b/cactusford/usage/meter.h
@@ -1,9 +1,9 @@
-// Counts the requests of each workspace, and has one instance of the deployment
-// report them to the platform, window by window.
+// Counts the requests of each workspace. One instance of the deployment reports
+// them to the platform, window by window.
 //
-// What is reported of a window is fixed in the store, by an object that is
-// created once, before it is sent: whoever sends it, again or after a takeover,
-// sends the same.
+// Before a window is reported, its counts are fixed by an object in the store
+// that is created only once. So whoever sends the report, again or after a
+// takeover, sends the same counts.
 #pragma once
 
 #include "cactusford/duties/duty.h"
@@ -23,10 +23,11 @@
 
 namespace cactusford::usage {
 
-// Windows whose counts are fixed and not yet reported, one object each.
+// The kind of objects that hold fixed windows not yet reported, one object
+// each.
 constexpr std::string_view window_kind = "usage-windows";
 
-// Where the holder takes in what the others have counted.
+// HTTP path at which the holder receives the counts of other instances.
 constexpr std::string_view peer_counts_path = "/usage-counts";
 
 struct meter_settings
@@ -35,17 +36,17 @@
   std::string address;
   double capacity = 1;
   std::uint64_t started_ms = 0;
-  // Where the platform takes reports; empty: it wants none.
+  // Address of the platform's usage endpoint; empty if it wants no reports.
   std::string platform;
   std::uint64_t window_ms = 5000;
 };
 
 struct meter_counts
 {
-  // Requests counted here.
+  // Requests counted by this instance.
   std::uint64_t requests = 0;
-  // Windows that the platform has taken from this instance, and those that were
-  // given up because they waited too long.
+  // Windows that the platform has accepted from this instance, and windows that
+  // were given up because they waited too long.
   std::uint64_t reported = 0;
   std::uint64_t given_up = 0;
 
@@ -61,19 +62,19 @@
         const edge::dialect& d,
         meter_settings s);
 
-  // Nothing is counted where the platform wants no reports.
+  // Returns false if the platform wants no reports; nothing is counted then.
   bool is_on() const { return !settings_.platform.empty(); }
 
   void start();
   void refresh();
 
-  // A request began to run at this time of the steady clock.
+  // A request started to run at this time on the steady clock.
   void note_run(const std::string& workspace, std::uint64_t at_ms);
 
-  // Another instance tells its counts.
+  // Handles the counts that another instance sent.
   void on_peer(const http::call& c);
 
-  // Tells the last counts and hands the duty over.
+  // Sends the last counts and releases the duty.
   void leave();
   bool has_left() const;
 
@@ -82,7 +83,7 @@
   std::uint64_t fence() const { return duty_.fence(); }
 
 private:
-  // A window whose counts are fixed.
+  // A window whose counts are fixed in the store.
   struct fixed_window
   {
     std::uint64_t number = 0;
@@ -116,21 +117,22 @@
   asio::steady_timer ticker_;
   true_time clock_;
   windows own_;
-  // Grows with each change of `own_`; what the holder has taken.
+  // Incremented with each change of `own_`, and the version that the holder has
+  // accepted.
   std::uint64_t version_ = 0;
   std::uint64_t told_version_ = 0;
   std::string told_to_;
   std::uint64_t told_ms_ = 0;
   bool telling_ = false;
-  // As the holder.
+  // State of the holder.
   collection collected_;
   std::uint64_t fence_known_ = 0;
   std::uint64_t held_since_ms_ = 0;
-  // The window that is reported next; 0: not known yet.
+  // The window to report next; 0 if not known yet.
   std::uint64_t next_ = 0;
-  // Found fixed in the store when the duty was taken over.
+  // Windows fixed in the store and not yet reported.
   windows fixed_;
-  // Objects to be removed once the lease tells that they are done.
+  // Objects to remove once the lease has recorded that they are done.
   std::set<std::uint64_t> to_remove_;
   std::uint64_t again_at_ms_ = 0;
   bool busy_ = false;
--- a/cactusford/usage/true_time.cc
+++ b/cactusford/usage/true_time.cc
@@ -4,10 +4,12 @@
 
 namespace {
 
-// Clocks that are set right by and by move less between two looks.
+// A clock that is corrected gradually moves less than this between two
+// readings.
 constexpr std::uint64_t step_ms = 100;
 
-// A step that lasts so long is a correction: most faults of clocks are over.
+// A step that lasts this long is a correction: most clock faults are over by
+// then.
 constexpr std::uint64_t lasting_ms = 60000;
 
 bool
