--- a/cactusford/duties/duty.h
+++ b/cactusford/duties/duty.h
@@ -82,7 +82,7 @@
 
   store::client& store_;
   duty_settings settings_;
-  ownership::keeper keeper_;
+  ownership::lease_client keeper_;
   holder holder_;
   std::uint64_t progress_ = 0;
   std::uint64_t recorded_ = 0;
--- a/cactusford/entry/lease_manager.cc
+++ b/cactusford/entry/lease_manager.cc
@@ -78,7 +78,8 @@
 }
 
 void
-lease_manager::advance(const std::string& trainer, ownership::keeper& lease)
+lease_manager::advance(const std::string& trainer,
+                       ownership::lease_client& lease)
 {
   const auto view = daemon_.configuration.current();
   const auto a = ownership::begin(
--- a/cactusford/entry/lease_manager.h
+++ b/cactusford/entry/lease_manager.h
@@ -36,13 +36,13 @@
   void mark_lost(const std::string& trainer);
 
 private:
-  void advance(const std::string& trainer, ownership::keeper& lease);
+  void advance(const std::string& trainer, ownership::lease_client& lease);
   void read(const std::string& trainer);
   void write(const std::string& trainer, ownership::action a);
 
   process::daemon& daemon_;
   change_handler on_change_;
-  std::map<std::string, ownership::keeper> leases_;
+  std::map<std::string, ownership::lease_client> leases_;
 };
 
 // Live entries that may own the trainer, in order of preference.
