--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -140,7 +140,7 @@
   if (!keeper_.held && keeper_.has_seen && !view_is_fresh) {
     return;
   }
-  const auto a = ownership::begin(keeper_, true, http::boot_ms());
+  const auto a = ownership::next_action(keeper_, true, http::boot_ms());
   switch (a) {
     case ownership::action::none:
       return;
--- a/cactusford/entry/lease_manager.cc
+++ b/cactusford/entry/lease_manager.cc
@@ -82,7 +82,7 @@
                        ownership::lease_client& lease)
 {
   const auto view = daemon_.configuration.current();
-  const auto a = ownership::begin(
+  const auto a = ownership::next_action(
     lease, is_listed(*view, lease.seen.holder), process::steady_ms());
   if (a == ownership::action::read) {
     read(trainer);
