--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -359,11 +359,11 @@
   store.piggyback.answer = [this](const nlohmann::json& sent) {
     const auto now = http::now_ms();
     if (const auto sidecar = sidecar_from(sent)) {
-      membership::note(sidecars, { *sidecar, "", 1 }, now);
+      membership::record(sidecars, { *sidecar, "", 1 }, now);
       return answer_rank(*sidecar);
     }
     for (const auto& m : membership::members_from(sent)) {
-      membership::note(entries, m, now);
+      membership::record(entries, m, now);
     }
     auto named = membership::largest(entries, entries_named, now);
     named.push_back(self());
@@ -372,7 +372,7 @@
   store.piggyback.incoming = [this](const nlohmann::json& answered) {
     for (const auto& m : membership::members_from(answered)) {
       if (m.instance != h.settings.instance) {
-        membership::note(entries, m, http::now_ms());
+        membership::record(entries, m, http::now_ms());
       }
     }
   };
