--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -12,20 +12,20 @@
 
 // Maximum age of the view of the lease. The store answers a waiting watch after
 // two seconds at most.
-constexpr std::uint64_t view_age_limit_ms = 3000;
+constexpr std::uint64_t max_view_age_ms = 3000;
 
 // Order of candidates in a takeover, half a second apart per rank: the largest
 // instances come first, and instances of equal size are spread by name.
 std::uint32_t
 rank_of(const duty_settings& s)
 {
-  constexpr double share_of_largest = 0.25;
-  constexpr double most = 4;
-  constexpr std::uint32_t apart = 3;
-  const auto small = std::min(share_of_largest / s.capacity, most);
-  const auto spread =
-    static_cast<std::uint32_t>(std::hash<std::string>{}(s.instance) % apart);
-  return static_cast<std::uint32_t>(small) + spread;
+  constexpr double largest_capacity = 0.25;
+  constexpr double max_size_rank = 4;
+  constexpr std::uint32_t spread_ranks = 3;
+  const auto size_rank = std::min(largest_capacity / s.capacity, max_size_rank);
+  const auto name_rank = static_cast<std::uint32_t>(
+    std::hash<std::string>{}(s.instance) % spread_ranks);
+  return static_cast<std::uint32_t>(size_rank) + name_rank;
 }
 
 store::decoded<holder>
@@ -62,34 +62,34 @@
   : store_{ store }
   , settings_{ std::move(s) }
 {
-  keeper_.self = settings_.instance;
-  keeper_.duration_ms = settings_.duration_ms;
-  keeper_.rank = rank_of(settings_);
+  lease_.self = settings_.instance;
+  lease_.duration_ms = settings_.duration_ms;
+  lease_.rank = rank_of(settings_);
 }
 
 void
 duty::on_lease(const store::object* o)
 {
   if (o != nullptr) {
-    take(*o);
+    apply(*o);
     return;
   }
   holder_ = {};
-  if (!keeper_.busy) {
-    ownership::on_read(keeper_, {}, http::boot_ms());
+  if (!lease_.busy) {
+    ownership::on_read(lease_, {}, http::boot_ms());
   }
 }
 
 // The watch may return an older state than this instance has written.
 void
-duty::take(const store::object& o)
+duty::apply(const store::object& o)
 {
   const auto read = holder_from(o.spec);
   if (!read) {
     store::log_unreadable(duty_kind, { o.name, read.fault });
     return;
   }
-  if (o.revision < keeper_.seen.version) {
+  if (o.revision < lease_.seen.version) {
     return;
   }
   if (holder_.instance != read->instance) {
@@ -102,32 +102,32 @@
   holder_ = *read;
   recorded_ = std::max(recorded_, read->progress);
   progress_ = std::max(progress_, read->progress);
-  const bool is_newer = o.revision > keeper_.seen.version;
-  if (keeper_.busy || (keeper_.held && !is_newer)) {
+  const bool is_newer = o.revision > lease_.seen.version;
+  if (lease_.busy || (lease_.held && !is_newer)) {
     return;
   }
-  const bool was_held = keeper_.held;
+  const bool was_held = lease_.held;
   if (was_held && read->instance != settings_.instance) {
-    ownership::on_conflict(keeper_);
+    ownership::on_conflict(lease_);
   }
   ownership::on_read(
-    keeper_, ownership::lease_from(o.revision, o.spec.dump()), http::boot_ms());
-  note_held(was_held, "taken");
+    lease_, ownership::lease_from(o.revision, o.spec.dump()), http::boot_ms());
+  log_transition(was_held, "taken");
 }
 
 void
 duty::on_confirmed()
 {
   confirmed_ms_ = http::boot_ms();
-  if (!keeper_.busy && keeper_.has_seen) {
-    ownership::on_read(keeper_, keeper_.seen, http::boot_ms());
+  if (!lease_.busy && lease_.has_seen) {
+    ownership::on_read(lease_, lease_.seen, http::boot_ms());
   }
 }
 
 bool
 duty::may_act() const
 {
-  return ownership::may_act(keeper_, http::boot_ms());
+  return ownership::may_act(lease_, http::boot_ms());
 }
 
 // While the store is unreachable no renewal is visible, and nobody can take
@@ -135,12 +135,11 @@
 void
 duty::tick()
 {
-  const bool view_is_fresh =
-    http::boot_ms() - confirmed_ms_ <= view_age_limit_ms;
-  if (!keeper_.held && keeper_.has_seen && !view_is_fresh) {
+  const bool view_is_fresh = http::boot_ms() - confirmed_ms_ <= max_view_age_ms;
+  if (!lease_.held && lease_.has_seen && !view_is_fresh) {
     return;
   }
-  const auto a = ownership::next_action(keeper_, true, http::boot_ms());
+  const auto a = ownership::next_action(lease_, true, http::boot_ms());
   switch (a) {
     case ownership::action::none:
       return;
@@ -160,9 +159,9 @@
 void
 duty::read()
 {
-  if (keeper_.has_seen) {
-    keeper_.busy = false;
-    keeper_.polled_ms = http::boot_ms();
+  if (lease_.has_seen) {
+    lease_.busy = false;
+    lease_.polled_ms = http::boot_ms();
     return;
   }
   store::call c;
@@ -172,12 +171,12 @@
   store_.perform(c, [this, alive = alive_](store::reply&& r) {
     const auto now = http::boot_ms();
     if (r.result == store::call_result::done && !r.items.empty()) {
-      keeper_.busy = false;
-      take(r.items.front());
+      lease_.busy = false;
+      apply(r.items.front());
     } else if (r.result == store::call_result::missing) {
-      ownership::on_read(keeper_, {}, now);
+      ownership::on_read(lease_, {}, now);
     } else {
-      ownership::on_unavailable(keeper_, now);
+      ownership::on_unavailable(lease_, now);
     }
   });
 }
@@ -188,15 +187,15 @@
   const bool is_release = a == ownership::action::release;
   const bool is_renewal = a == ownership::action::renew;
   store::call c;
-  c.op = keeper_.seen.version == 0 ? store::operation::create
-                                   : store::operation::replace;
+  c.op = lease_.seen.version == 0 ? store::operation::create
+                                  : store::operation::replace;
   c.kind = duty_kind;
   c.name = settings_.name;
-  c.revision = keeper_.seen.version;
+  c.revision = lease_.seen.version;
   c.body = { { "holder", is_release ? "" : settings_.instance },
              { "address", is_release ? "" : settings_.address },
              // 0 in the acquiring write, whose fencing token is its revision.
-             { "fence", is_renewal ? keeper_.seen.fence : 0 },
+             { "fence", is_renewal ? lease_.seen.fence : 0 },
              { "progress", progress_ },
              // Changes with each write: the store does not count a write
              // without changes as a renewal.
@@ -209,28 +208,28 @@
 void
 duty::on_written(ownership::action a, store::reply&& r)
 {
-  const bool was_held = keeper_.held;
+  const bool was_held = lease_.held;
   const auto now = http::boot_ms();
   switch (r.result) {
     case store::call_result::done: {
       const auto revision =
         r.items.empty() ? std::uint64_t{ 0 } : r.items.front().revision;
       if (revision == 0) {
-        ownership::on_conflict(keeper_);
+        ownership::on_conflict(lease_);
         break;
       }
-      ownership::on_written(keeper_, a, revision, now);
-      take(r.items.front());
+      ownership::on_written(lease_, a, revision, now);
+      apply(r.items.front());
       break;
     }
     case store::call_result::conflict:
     case store::call_result::missing:
     case store::call_result::history_gone:
-      ownership::on_conflict(keeper_);
+      ownership::on_conflict(lease_);
       break;
     case store::call_result::refused:
     case store::call_result::unknown:
-      ownership::on_unavailable(keeper_, now);
+      ownership::on_unavailable(lease_, now);
       break;
   }
   if (a != ownership::action::renew || r.result != store::call_result::done) {
@@ -238,22 +237,22 @@
                         .with("duty", settings_.name)
                         .with("action", name_of(a))
                         .with("verdict", store::name_of(r.result))
-                        .with("fence", keeper_.seen.fence)
-                        .with("revision", keeper_.seen.version));
+                        .with("fence", lease_.seen.fence)
+                        .with("revision", lease_.seen.version));
   }
-  note_held(was_held, store::name_of(r.result));
+  log_transition(was_held, store::name_of(r.result));
 }
 
 void
-duty::note_held(bool before, std::string_view why)
+duty::log_transition(bool before, std::string_view why)
 {
-  if (before == keeper_.held) {
+  if (before == lease_.held) {
     return;
   }
   process::log_line(
-    timeline::event{ keeper_.held ? "duty_acquired" : "duty_lost" }
+    timeline::event{ lease_.held ? "duty_acquired" : "duty_lost" }
       .with("duty", settings_.name)
-      .with("fence", keeper_.seen.fence)
+      .with("fence", lease_.seen.fence)
       .with("progress", progress_)
       .with("why", why));
 }
@@ -261,21 +260,21 @@
 void
 duty::step_down(std::string_view why)
 {
-  const bool was_held = keeper_.held;
-  ownership::on_conflict(keeper_);
-  note_held(was_held, why);
+  const bool was_held = lease_.held;
+  ownership::on_conflict(lease_);
+  log_transition(was_held, why);
 }
 
 void
-duty::leave()
+duty::release()
 {
-  keeper_.releasing = true;
+  lease_.releasing = true;
 }
 
 bool
-duty::has_left() const
+duty::is_released() const
 {
-  return !keeper_.held && !keeper_.busy;
+  return !lease_.held && !lease_.busy;
 }
 
 } // namespace cactusford::duties
--- a/cactusford/duties/duty.h
+++ b/cactusford/duties/duty.h
@@ -54,11 +54,11 @@
   void tick();
 
   bool may_act() const;
-  bool is_held() const { return keeper_.held; }
-  std::uint64_t fence() const { return keeper_.seen.fence; }
+  bool is_held() const { return lease_.held; }
+  std::uint64_t fence() const { return lease_.seen.fence; }
 
   // The holder as last read; its `instance` is empty if there is none.
-  const holder& held_by() const { return holder_; }
+  const holder& current_holder() const { return holder_; }
 
   // Sets the progress that the next renewal writes; `recorded` returns the
   // progress that the store has recorded.
@@ -70,19 +70,19 @@
 
   // Releases the lease, so that another instance need not wait until it
   // expires.
-  void leave();
-  bool has_left() const;
+  void release();
+  bool is_released() const;
 
 private:
   void read();
   void write(ownership::action a);
   void on_written(ownership::action a, store::reply&& r);
-  void take(const store::object& o);
-  void note_held(bool before, std::string_view why);
+  void apply(const store::object& o);
+  void log_transition(bool before, std::string_view why);
 
   store::client& store_;
   duty_settings settings_;
-  ownership::lease_client keeper_;
+  ownership::lease_client lease_;
   holder holder_;
   std::uint64_t progress_ = 0;
   std::uint64_t recorded_ = 0;
--- a/cactusford/membership/directory-test.cc
+++ b/cactusford/membership/directory-test.cc
@@ -25,10 +25,10 @@
 {
   directory d;
   for (int i = 0; i < 40; ++i) {
-    note(d, member_of("small-" + std::to_string(i), 0.09), now);
+    record(d, member_of("small-" + std::to_string(i), 0.09), now);
   }
   for (int i = 0; i < 18; ++i) {
-    note(d, member_of("large-" + std::to_string(i), 0.5), now);
+    record(d, member_of("large-" + std::to_string(i), 0.5), now);
   }
   const auto found = largest(d, 6, now);
   cr_assert_eq(found.size(), 6);
@@ -39,18 +39,18 @@
   {
     auto fresh = member_of("large-9", 0.5);
     fresh.started_ms = 7;
-    note(d, fresh, now);
+    record(d, fresh, now);
     cr_assert_eq(largest(d, 6, now)[0], fresh);
   }
   SECTION("one that leaves says so and is named no more")
   {
-    note(d, member_of(found[0].instance, 0), now);
+    record(d, member_of(found[0].instance, 0), now);
     cr_assert(largest(d, 6, now)[0] != found[0]);
   }
   SECTION("one that falls silent is named no more")
   {
-    cr_assert(largest(d, 6, now + heard_for_ms + 1).empty());
-    note(d, member_of("new", 0.1), now + heard_for_ms + 1);
+    cr_assert(largest(d, 6, now + member_timeout_ms + 1).empty());
+    record(d, member_of("new", 0.1), now + member_timeout_ms + 1);
     cr_assert_eq(d.all.size(), 1, "and is forgotten");
   }
 }
@@ -60,11 +60,11 @@
 {
   directory d;
   for (const auto* name : { "dora", "anna", "carl" }) {
-    note(d, member_of(name, 1), now);
+    record(d, member_of(name, 1), now);
   }
   cr_assert_eq(rank_of(d, "anna"), 0);
   cr_assert_eq(rank_of(d, "dora"), 2);
-  note(d, member_of("bert", 1), now);
+  record(d, member_of("bert", 1), now);
   cr_assert_eq(rank_of(d, "dora"), 3);
 }
 
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -8,10 +8,10 @@
 namespace cactusford::membership {
 
 void
-note(directory& d, const member& m, std::uint64_t now_ms)
+record(directory& d, const member& m, std::uint64_t now_ms)
 {
   std::erase_if(d.all, [now_ms](const auto& e) {
-    return now_ms - e.second.at_ms > heard_for_ms;
+    return now_ms - e.second.heard_at_ms > member_timeout_ms;
   });
   if (m.capacity > 0) {
     d.all[m.instance] = { m, now_ms };
@@ -25,8 +25,8 @@
 {
   std::vector<member> members;
   for (const auto& [instance, h] : d.all) {
-    if (now_ms - h.at_ms <= heard_for_ms) {
-      members.push_back(h.of);
+    if (now_ms - h.heard_at_ms <= member_timeout_ms) {
+      members.push_back(h.value);
     }
   }
   std::stable_sort(members.begin(), members.end(), [](auto& a, auto& b) {
--- a/cactusford/membership/directory.h
+++ b/cactusford/membership/directory.h
@@ -33,25 +33,25 @@
 // How long a member counts as alive after its last message, in milliseconds. A
 // watch is held for a second. A member that is gone costs a submission sent to
 // it one refused connection.
-constexpr std::uint64_t heard_for_ms = 2000;
+constexpr std::uint64_t member_timeout_ms = 2000;
 
 struct directory
 {
-  struct heard
+  struct entry
   {
-    member of;
-    std::uint64_t at_ms = 0;
+    member value;
+    std::uint64_t heard_at_ms = 0;
 
-    friend bool operator==(const heard&, const heard&) = default;
+    friend bool operator==(const entry&, const entry&) = default;
   };
-  std::map<std::string, heard> all;
+  std::map<std::string, entry> all;
 
   friend bool operator==(const directory&, const directory&) = default;
 };
 
 // Records a message of a member; a member without capacity is removed.
 void
-note(directory& d, const member& m, std::uint64_t now_ms);
+record(directory& d, const member& m, std::uint64_t now_ms);
 
 // Returns the members that are alive, sorted by descending capacity; of equal
 // ones the most recently started first. Planned restarts happen one after the
--- a/cactusford/membership/rendezvous.cc
+++ b/cactusford/membership/rendezvous.cc
@@ -16,15 +16,15 @@
 std::vector<std::string>
 rank(std::span<const std::string> members, std::string_view key)
 {
-  std::vector<std::pair<std::uint64_t, std::string>> weighed;
-  weighed.reserve(members.size());
+  std::vector<std::pair<std::uint64_t, std::string>> weighted;
+  weighted.reserve(members.size());
   for (const auto& m : members) {
-    weighed.emplace_back(~weight_of(m, key), m);
+    weighted.emplace_back(~weight_of(m, key), m);
   }
-  std::sort(weighed.begin(), weighed.end());
+  std::sort(weighted.begin(), weighted.end());
   std::vector<std::string> ranked;
   ranked.reserve(members.size());
-  for (auto& [weight, name] : weighed) {
+  for (auto& [weight, name] : weighted) {
     ranked.push_back(std::move(name));
   }
   return ranked;
--- a/cactusford/ownership/lease.cc
+++ b/cactusford/ownership/lease.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint32_t polls_per_lease = 3;
+constexpr std::uint32_t polls_per_duration = 3;
 // Candidates of a later rank wait longer, so that two rarely write at once. If
 // they do, the conditional write lets only one succeed.
 constexpr std::uint64_t rank_delay_ms = 500;
@@ -15,107 +15,113 @@
 constexpr std::uint64_t act_margin_ms = 500;
 
 bool
-may_take_over(const keeper& k, bool holder_listed, std::uint64_t now_ms)
+may_take_over(const lease_client& client,
+              bool holder_listed,
+              std::uint64_t now_ms)
 {
-  const auto unchanged = now_ms - k.seen_ms;
-  const auto delay = k.rank * rank_delay_ms;
-  if (k.seen.holder.empty() || k.seen.holder == k.self || !holder_listed) {
+  const auto unchanged = now_ms - client.seen_ms;
+  const auto delay = client.rank * rank_delay_ms;
+  if (client.seen.holder.empty() || client.seen.holder == client.self ||
+      !holder_listed) {
     return unchanged >= delay;
   }
-  return unchanged >= k.duration_ms + delay;
+  return unchanged >= client.duration_ms + delay;
 }
 
 } // namespace
 
 action
-begin(keeper& k, bool holder_listed, std::uint64_t now_ms)
+next_action(lease_client& client, bool holder_listed, std::uint64_t now_ms)
 {
-  k.begun_ms = k.busy ? k.begun_ms : now_ms;
-  const auto interval = k.duration_ms / polls_per_lease;
-  if (k.busy) {
+  client.begun_ms = client.busy ? client.begun_ms : now_ms;
+  const auto interval = client.duration_ms / polls_per_duration;
+  if (client.busy) {
     return action::none;
   }
-  if (k.held && k.releasing) {
-    k.busy = true;
+  if (client.held && client.releasing) {
+    client.busy = true;
     return action::release;
   }
-  if (k.held) {
-    if (now_ms - k.renewed_ms < interval) {
+  if (client.held) {
+    if (now_ms - client.renewed_ms < interval) {
       return action::none;
     }
-    k.busy = true;
+    client.busy = true;
     return action::renew;
   }
-  if (k.releasing) {
+  if (client.releasing) {
     return action::none;
   }
-  if (k.has_seen && may_take_over(k, holder_listed, now_ms)) {
-    k.busy = true;
+  if (client.has_seen && may_take_over(client, holder_listed, now_ms)) {
+    client.busy = true;
     return action::acquire;
   }
-  if (!k.has_seen || now_ms - k.polled_ms >= interval) {
-    k.busy = true;
+  if (!client.has_seen || now_ms - client.polled_ms >= interval) {
+    client.busy = true;
     return action::read;
   }
   return action::none;
 }
 
 bool
-may_act(const keeper& k, std::uint64_t now_ms)
+may_act(const lease_client& client, std::uint64_t now_ms)
 {
-  return k.held && !k.releasing &&
-         now_ms + act_margin_ms < k.confirmed_ms + k.duration_ms;
+  return client.held && !client.releasing &&
+         now_ms + act_margin_ms < client.confirmed_ms + client.duration_ms;
 }
 
 void
-on_read(keeper& k, const lease& l, std::uint64_t now_ms)
+on_read(lease_client& client, const lease& l, std::uint64_t now_ms)
 {
-  k.busy = false;
-  k.polled_ms = now_ms;
-  if (!k.has_seen || l.version != k.seen.version) {
-    k.seen = l;
-    k.seen_ms = now_ms;
-    k.has_seen = true;
+  client.busy = false;
+  client.polled_ms = now_ms;
+  if (!client.has_seen || l.version != client.seen.version) {
+    client.seen = l;
+    client.seen_ms = now_ms;
+    client.has_seen = true;
   }
 }
 
 void
-on_written(keeper& k, action a, std::uint64_t version, std::uint64_t now_ms)
+on_written(lease_client& client,
+           action a,
+           std::uint64_t version,
+           std::uint64_t now_ms)
 {
-  k.busy = false;
-  k.seen.version = version;
-  k.seen_ms = now_ms;
-  k.renewed_ms = now_ms;
-  k.confirmed_ms = k.begun_ms;
+  client.busy = false;
+  client.seen.version = version;
+  client.seen_ms = now_ms;
+  client.renewed_ms = now_ms;
+  client.confirmed_ms = client.begun_ms;
   if (a == action::acquire) {
-    k.seen.holder = k.self;
-    k.seen.fence = version;
-    k.held = true;
+    client.seen.holder = client.self;
+    client.seen.fence = version;
+    client.held = true;
   } else if (a == action::release) {
-    k.seen.holder.clear();
-    k.held = false;
+    client.seen.holder.clear();
+    client.held = false;
   }
 }
 
 void
-on_unavailable(keeper& k, std::uint64_t now_ms)
+on_unavailable(lease_client& client, std::uint64_t now_ms)
 {
-  k.busy = false;
-  k.polled_ms = now_ms;
-  k.renewed_ms = now_ms;
+  client.busy = false;
+  client.polled_ms = now_ms;
+  client.renewed_ms = now_ms;
   // The write may have taken effect although its answer was lost, so the
   // version read before is not reliable any more.
-  if (!k.held) {
-    k.has_seen = false;
+  if (!client.held) {
+    client.has_seen = false;
   }
 }
 
 void
-on_conflict(keeper& k)
+on_conflict(lease_client& client)
 {
-  k.busy = false;
-  k.held = false;
-  k.has_seen = false;
+  client.busy = false;
+  client.held = false;
+  client.has_seen = false;
 }
 
 std::string
--- a/cactusford/ownership/lease.h
+++ b/cactusford/ownership/lease.h
@@ -20,7 +20,7 @@
   friend bool operator==(const lease&, const lease&) = default;
 };
 
-struct keeper
+struct lease_client
 {
   std::string self;
   std::uint32_t duration_ms = 10000;
@@ -41,7 +41,7 @@
   bool busy = false;
   bool releasing = false;
 
-  friend bool operator==(const keeper&, const keeper&) = default;
+  friend bool operator==(const lease_client&, const lease_client&) = default;
 };
 
 enum class action
@@ -56,30 +56,33 @@
 // Returns the next action and records that it has started. `holder_listed`: the
 // platform's list still contains the current holder.
 action
-begin(keeper& k, bool holder_listed, std::uint64_t now_ms);
+next_action(lease_client& client, bool holder_listed, std::uint64_t now_ms);
 
 // Returns true while nobody else can have taken over. A candidate waits for the
 // whole lease duration after it has seen the last write, which is later than
 // the time at which this client sent that write.
 bool
-may_act(const keeper& k, std::uint64_t now_ms);
+may_act(const lease_client& client, std::uint64_t now_ms);
 
 // The platform answered a read.
 void
-on_read(keeper& k, const lease& l, std::uint64_t now_ms);
+on_read(lease_client& client, const lease& l, std::uint64_t now_ms);
 
 // A write took effect at this version.
 void
-on_written(keeper& k, action a, std::uint64_t version, std::uint64_t now_ms);
+on_written(lease_client& client,
+           action a,
+           std::uint64_t version,
+           std::uint64_t now_ms);
 
 // The platform does not answer. Nobody can take over either, so a holder keeps
 // the lease.
 void
-on_unavailable(keeper& k, std::uint64_t now_ms);
+on_unavailable(lease_client& client, std::uint64_t now_ms);
 
 // Another client wrote the lease.
 void
-on_conflict(keeper& k);
+on_conflict(lease_client& client);
 
 std::string
 to_spec(const lease& l);
--- a/cactusford/usage/counts-test.cc
+++ b/cactusford/usage/counts-test.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-told_counts
-told(const char* instance, std::uint64_t started_ms, windows open)
+instance_counts
+counts_of(const char* instance, std::uint64_t started_ms, windows open)
 {
   return { instance, started_ms, std::move(open) };
 }
@@ -27,53 +27,56 @@
 // new holder receives everything again.
 Test(usage, adds_up_what_entries_tell)
 {
-  collection c;
-  take(c, told("a", 1, { { 7, { { "planning", 2 } } } }));
-  take(c, told("b", 1, { { 7, { { "planning", 1 }, { "billing", 4 } } } }));
+  received_counts c;
+  merge(c, counts_of("a", 1, { { 7, { { "planning", 2 } } } }));
+  merge(c,
+        counts_of("b", 1, { { 7, { { "planning", 1 }, { "billing", 4 } } } }));
   cr_assert(sum(c, 7) == (counts{ { "planning", 3 }, { "billing", 4 } }));
   cr_assert(sum(c, 8).empty());
   SECTION("a message that comes twice or late adds nothing")
   {
     auto repeated = c;
-    take(repeated, told("a", 1, { { 7, { { "planning", 5 } } } }));
-    take(repeated, told("a", 1, { { 7, { { "planning", 2 } } } }));
+    merge(repeated, counts_of("a", 1, { { 7, { { "planning", 5 } } } }));
+    merge(repeated, counts_of("a", 1, { { 7, { { "planning", 2 } } } }));
     cr_assert_eq(sum(repeated, 7).at("planning"), 6);
   }
   SECTION("what an entry counted before it started anew stays")
   {
     auto restarted = c;
-    take(restarted, told("a", 2, { { 7, { { "planning", 1 } } } }));
+    merge(restarted, counts_of("a", 2, { { 7, { { "planning", 1 } } } }));
     cr_assert_eq(sum(restarted, 7).at("planning"), 4);
   }
   SECTION("a closed window is forgotten")
   {
-    close_until(c, 7);
-    cr_assert(c == collection{});
+    drop_through(c, 7);
+    cr_assert(c == received_counts{});
   }
 }
 
 Test(usage, any_order_of_messages_gives_the_same_sum)
 {
   const bool ok = rc::check([] {
-    const auto lives = *rc::gen::inRange<std::uint64_t>(1, 4);
-    std::vector<told_counts> messages;
-    counts truth;
-    for (std::uint64_t life = 0; life < lives; ++life) {
+    const auto incarnations = *rc::gen::inRange<std::uint64_t>(1, 4);
+    std::vector<instance_counts> messages;
+    counts expected;
+    for (std::uint64_t incarnation = 0; incarnation < incarnations;
+         ++incarnation) {
       const auto runs = *rc::gen::inRange<std::uint64_t>(1, 20);
       for (std::uint64_t sofar = 1; sofar <= runs; ++sofar) {
-        messages.push_back(told("a", life, { { 3, { { "w", sofar } } } }));
+        messages.push_back(
+          counts_of("a", incarnation, { { 3, { { "w", sofar } } } }));
       }
-      truth["w"] += runs;
+      expected["w"] += runs;
     }
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
     std::mt19937 random{ seed };
     std::shuffle(messages.begin(), messages.end(), random);
-    collection c;
+    received_counts c;
     for (const auto& m : messages) {
-      take(c, m);
-      take(c, *told_counts_from(encode(m)));
+      merge(c, m);
+      merge(c, *instance_counts_from(encode(m)));
     }
-    RC_ASSERT(sum(c, 3) == truth);
+    RC_ASSERT(sum(c, 3) == expected);
   });
   cr_assert(ok);
 }
@@ -81,11 +84,11 @@
 Test(usage, keeps_a_bounded_number_of_windows)
 {
   windows w;
-  for (std::uint64_t k = 0; k < most_windows; ++k) {
-    cr_assert_not(note(w, k, "w").has_value());
+  for (std::uint64_t k = 0; k < max_windows; ++k) {
+    cr_assert_not(count_run(w, k, "w").has_value());
   }
-  cr_assert_eq(*note(w, most_windows, "w"), 0);
-  cr_assert_eq(w.size(), most_windows);
+  cr_assert_eq(*count_run(w, max_windows, "w"), 0);
+  cr_assert_eq(w.size(), max_windows);
 }
 
 Test(usage, leaves_out_what_is_no_count)
@@ -94,7 +97,7 @@
   cr_assert_not(counts_from(json{ { "w", -1 } }).has_value());
   cr_assert_not(counts_from(json{ { "w", "1" } }).has_value());
   cr_assert_not(counts_from(json::array()).has_value());
-  cr_assert_not(told_counts_from(json{ { "instance", "a" } }).has_value());
+  cr_assert_not(instance_counts_from(json{ { "instance", "a" } }).has_value());
 }
 
 // A clock jumps ahead by two seconds and back after twenty. Requests made
@@ -106,14 +109,14 @@
   true_time t;
   for (std::uint64_t boot = 0; boot < 60'000; boot += 200) {
     const bool is_stepped = boot >= 10'000 && boot < 30'000;
-    const auto seen = look(t, day + boot + (is_stepped ? step : 0), boot);
+    const auto seen = correct(t, day + boot + (is_stepped ? step : 0), boot);
     cr_assert_eq(seen, day + boot);
   }
   SECTION("one that lasts is believed")
   {
     std::uint64_t seen = 0;
     for (std::uint64_t boot = 60'000; boot < 130'000; boot += 200) {
-      seen = look(t, day + boot + step, boot) - boot;
+      seen = correct(t, day + boot + step, boot) - boot;
     }
     cr_assert_eq(seen, day + step);
   }
@@ -121,7 +124,7 @@
   {
     std::uint64_t seen = 0;
     for (std::uint64_t boot = 60'000; boot < 160'000; boot += 200) {
-      seen = look(t, day + boot + (boot - 60'000) / 1000, boot) - boot;
+      seen = correct(t, day + boot + (boot - 60'000) / 1000, boot) - boot;
     }
     cr_assert_geq(seen, day + 99);
   }
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -9,15 +9,15 @@
 using nlohmann::json;
 
 // A larger message is the fault of whoever sent it.
-constexpr std::size_t most_workspaces = 20000;
+constexpr std::size_t max_workspaces = 20000;
 
 } // namespace
 
 std::optional<std::uint64_t>
-note(windows& w, std::uint64_t number, const std::string& workspace)
+count_run(windows& w, std::uint64_t number, const std::string& workspace)
 {
   ++w[number][workspace];
-  if (w.size() <= most_windows) {
+  if (w.size() <= max_windows) {
     return std::nullopt;
   }
   const auto oldest = w.begin()->first;
@@ -26,7 +26,7 @@
 }
 
 void
-close_until(windows& w, std::uint64_t number)
+drop_through(windows& w, std::uint64_t number)
 {
   w.erase(w.begin(), w.upper_bound(number));
 }
@@ -45,8 +45,8 @@
 counts_from(const json& j)
 {
   return store::try_decode([&] {
-    if (!j.is_object() || j.size() > most_workspaces) {
-      throw store::field_error{ { "counts", "no counts by workspace" } };
+    if (!j.is_object() || j.size() > max_workspaces) {
+      throw store::field_error{ { "counts", "not a map of counts by workspace" } };
     }
     counts c;
     for (const auto& [workspace, requests] : j.items()) {
@@ -57,7 +57,7 @@
 }
 
 json
-encode(const told_counts& t)
+encode(const instance_counts& t)
 {
   auto open = json::array();
   for (const auto& [number, c] : t.open) {
@@ -68,16 +68,16 @@
            { "open", std::move(open) } };
 }
 
-store::decoded<told_counts>
-told_counts_from(const json& j)
+store::decoded<instance_counts>
+instance_counts_from(const json& j)
 {
   return store::try_decode([&] {
-    told_counts t;
+    instance_counts t;
     t.instance = store::string_field(j, "instance");
     t.started_ms = store::uint_field(j, "started_ms");
     const auto& open = store::array_field(j, "open");
-    if (open.size() > most_windows) {
-      throw store::field_error{ { "open", "too many windows" } };
+    if (open.size() > max_windows) {
+      throw store::field_error{ { "open", "more windows than allowed" } };
     }
     for (const auto& w : open) {
       auto c = counts_from(store::field(w, "counts"));
@@ -91,24 +91,24 @@
 }
 
 void
-take(collection& c, const told_counts& t)
+merge(received_counts& c, const instance_counts& t)
 {
   auto& known = c.by_instance[t.instance][t.started_ms];
-  for (const auto& [number, told] : t.open) {
+  for (const auto& [number, received] : t.open) {
     auto& window = known[number];
-    for (const auto& [workspace, requests] : told) {
-      auto& held = window[workspace];
-      held = std::max(held, requests);
+    for (const auto& [workspace, requests] : received) {
+      auto& known_requests = window[workspace];
+      known_requests = std::max(known_requests, requests);
     }
   }
 }
 
 counts
-sum(const collection& c, std::uint64_t number)
+sum(const received_counts& c, std::uint64_t number)
 {
   counts all;
-  for (const auto& [instance, lives] : c.by_instance) {
-    for (const auto& [started_ms, open] : lives) {
+  for (const auto& [instance, incarnations] : c.by_instance) {
+    for (const auto& [started_ms, open] : incarnations) {
       const auto found = open.find(number);
       if (found == open.end()) {
         continue;
@@ -122,13 +122,13 @@
 }
 
 void
-close_until(collection& c, std::uint64_t number)
+drop_through(received_counts& c, std::uint64_t number)
 {
-  for (auto& [instance, lives] : c.by_instance) {
-    for (auto& [started_ms, open] : lives) {
-      close_until(open, number);
+  for (auto& [instance, incarnations] : c.by_instance) {
+    for (auto& [started_ms, open] : incarnations) {
+      drop_through(open, number);
     }
-    std::erase_if(lives, [](const auto& l) { return l.second.empty(); });
+    std::erase_if(incarnations, [](const auto& l) { return l.second.empty(); });
   }
   std::erase_if(c.by_instance, [](const auto& i) { return i.second.empty(); });
 }
--- a/cactusford/usage/counts.h
+++ b/cactusford/usage/counts.h
@@ -28,33 +28,34 @@
 
 // Maximum number of windows kept: two minutes of five seconds each. Older
 // windows that still wait for the platform are dropped.
-constexpr std::size_t most_windows = 24;
+constexpr std::size_t max_windows = 24;
 
 // Counts a request of the workspace that started to run in that window. Drops
 // the oldest window if there are too many and returns its number.
 std::optional<std::uint64_t>
-note(windows& w, std::uint64_t number, const std::string& workspace);
+count_run(windows& w, std::uint64_t number, const std::string& workspace);
 
 // Drops all windows up to and including this one.
 void
-close_until(windows& w, std::uint64_t number);
+drop_through(windows& w, std::uint64_t number);
 
 // The counts of one incarnation of an instance.
-struct told_counts
+struct instance_counts
 {
   std::string instance;
   // Start time of the process: each incarnation counts from zero.
   std::uint64_t started_ms = 0;
   windows open;
 
-  friend bool operator==(const told_counts&, const told_counts&) = default;
+  friend bool operator==(const instance_counts&,
+                         const instance_counts&) = default;
 };
 
 nlohmann::json
-encode(const told_counts& t);
+encode(const instance_counts& t);
 
-store::decoded<told_counts>
-told_counts_from(const nlohmann::json& j);
+store::decoded<instance_counts>
+instance_counts_from(const nlohmann::json& j);
 
 nlohmann::json
 encode(const counts& c);
@@ -63,22 +64,23 @@
 counts_from(const nlohmann::json& j);
 
 // The counts that the holder has received from all instances.
-struct collection
+struct received_counts
 {
   std::map<std::string, std::map<std::uint64_t, windows>> by_instance;
 
-  friend bool operator==(const collection&, const collection&) = default;
+  friend bool operator==(const received_counts&,
+                         const received_counts&) = default;
 };
 
 // Keeps the larger value of each count: a count never decreases while its
 // window is open.
 void
-take(collection& c, const told_counts& t);
+merge(received_counts& c, const instance_counts& t);
 
 counts
-sum(const collection& c, std::uint64_t number);
+sum(const received_counts& c, std::uint64_t number);
 
 void
-close_until(collection& c, std::uint64_t number);
+drop_through(received_counts& c, std::uint64_t number);
 
 } // namespace cactusford::usage
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -17,19 +17,19 @@
 
 // Interval at which changed counts are sent: a crashed entry loses at most one
 // second of its requests.
-constexpr std::uint64_t tell_ms = 1000;
-constexpr std::uint64_t tell_timeout_ms = 800;
+constexpr std::uint64_t send_interval_ms = 1000;
+constexpr std::uint64_t send_counts_timeout_ms = 800;
 
 // Delay after the end of a window, in which its last requests end and their
 // counts arrive.
 constexpr std::uint64_t settle_ms = 3500;
 
 // A new holder receives the counts of all instances within this time.
-constexpr std::uint64_t hear_all_ms = 1400;
+constexpr std::uint64_t collect_all_ms = 1400;
 
 // Timeout of calls to the platform, and the pause between them while it is
 // unavailable.
-constexpr std::uint64_t send_timeout_ms = 1500;
+constexpr std::uint64_t report_timeout_ms = 1500;
 constexpr std::uint64_t retry_ms = 500;
 
 // A window that the platform has not accepted by then is given up.
@@ -92,7 +92,7 @@
 std::uint64_t
 meter::now()
 {
-  return look(clock_, timeline::wall_ms(), http::boot_ms());
+  return correct(clock_, timeline::wall_ms(), http::boot_ms());
 }
 
 std::uint64_t
@@ -110,7 +110,8 @@
   ++totals_.requests;
   ++version_;
   const auto ago = http::now_ms() - at_ms;
-  if (const auto lost = note(own_, window_at(now() - ago), workspace)) {
+  if (const auto lost =
+        count_run(own_counts_, window_at(now() - ago), workspace)) {
     process::log_line(
       timeline::event{ "usage_counts_dropped" }.with("window", *lost));
   }
@@ -121,10 +122,10 @@
 {
   now();
   duty_.tick();
-  forget_reported();
-  tell();
-  advance();
-  remove_recorded();
+  drop_reported();
+  send_counts();
+  report_next();
+  remove_recorded_windows();
   ticker_.expires_after(std::chrono::milliseconds{ tick_ms });
   ticker_.async_wait([this](asio::error_code ec) {
     if (!ec) {
@@ -134,50 +135,53 @@
 }
 
 void
-meter::forget_reported()
+meter::drop_reported()
 {
-  close_until(own_, duty_.recorded());
-  close_until(collected_, duty_.recorded());
+  drop_through(own_counts_, duty_.recorded());
+  drop_through(received_counts_, duty_.recorded());
 }
 
 // Sends the open windows to the holder. A new holder receives them even if they
 // have not changed.
 void
-meter::tell()
+meter::send_counts()
 {
-  const auto& holder = duty_.held_by();
-  const bool is_new = holder.address != told_to_;
+  const auto& holder = duty_.current_holder();
+  const bool is_new = holder.address != counts_sent_to_;
   const auto now_ms = http::now_ms();
-  if (holder.address.empty() || telling_ || own_.empty() ||
-      (!is_new && told_version_ == version_) || now_ms - told_ms_ < tell_ms) {
+  if (holder.address.empty() || is_sending_counts_ || own_counts_.empty() ||
+      (!is_new && sent_version_ == version_) ||
+      now_ms - counts_sent_at_ms_ < send_interval_ms) {
     return;
   }
-  told_ms_ = now_ms;
-  const told_counts t{ settings_.instance, settings_.started_ms, own_ };
+  counts_sent_at_ms_ = now_ms;
+  const instance_counts t{ settings_.instance,
+                           settings_.started_ms,
+                           own_counts_ };
   if (holder.address == settings_.address) {
-    take(collected_, t);
-    told_to_ = holder.address;
-    told_version_ = version_;
+    merge(received_counts_, t);
+    counts_sent_to_ = holder.address;
+    sent_version_ = version_;
     return;
   }
-  telling_ = true;
+  is_sending_counts_ = true;
   http::request r;
   r.method = "POST";
   r.target = std::string{ peer_counts_path };
   r.fields = { { "Host", holder.instance } };
   r.body = encode(t).dump();
   http::exchange_options o;
-  o.timeout_ms = tell_timeout_ms;
+  o.timeout_ms = send_counts_timeout_ms;
   http_.fetch(holder.address,
               r,
               o,
               [this, to = holder.address, version = version_](
                 http::end_state end, http::response&& a) {
-                telling_ = false;
+                is_sending_counts_ = false;
                 constexpr int ok = 200;
                 if (end == http::end_state::complete && a.status == ok) {
-                  told_to_ = to;
-                  told_version_ = version;
+                  counts_sent_to_ = to;
+                  sent_version_ = version;
                 }
               });
 }
@@ -187,13 +191,13 @@
 void
 meter::on_peer(const http::call& c)
 {
-  const auto t = told_counts_from(store::parse_message(c.request().body));
+  const auto t = instance_counts_from(store::parse_message(c.request().body));
   if (!t) {
     process::log_line(timeline::event{ "usage_counts_unreadable" }
                         .with("field", t.fault.field)
                         .with("why", t.fault.what));
   } else {
-    take(collected_, *t);
+    merge(received_counts_, *t);
   }
   http::response a;
   a.status = t ? 200 : 400;
@@ -202,81 +206,82 @@
 
 // As the holder, performs the next step of reporting.
 void
-meter::advance()
+meter::report_next()
 {
-  if (busy_ || !duty_.may_act() || http::boot_ms() < again_at_ms_) {
+  if (is_busy_ || !duty_.may_act() || http::boot_ms() < retry_at_ms_) {
     return;
   }
-  if (fence_known_ != duty_.fence()) {
-    learn_fixed();
+  if (loaded_fence_ != duty_.fence()) {
+    load_fixed_windows();
     return;
   }
   const auto true_ms = now();
-  if (next_ == 0) {
-    next_ = window_at(true_ms);
+  if (next_window_ == 0) {
+    next_window_ = window_at(true_ms);
   }
-  const auto end_ms = (next_ + 1) * settings_.window_ms;
+  const auto end_ms = (next_window_ + 1) * settings_.window_ms;
   if (true_ms < end_ms + settle_ms) {
     return;
   }
   if (true_ms > end_ms + give_up_ms) {
-    give_up(next_);
+    give_up_window(next_window_);
     return;
   }
-  const auto found = fixed_.find(next_);
-  if (found != fixed_.end()) {
-    send({ next_, found->second });
-  } else if (http::boot_ms() - held_since_ms_ >= hear_all_ms) {
-    fix(next_);
+  const auto found = fixed_windows_.find(next_window_);
+  if (found != fixed_windows_.end()) {
+    send_report({ next_window_, found->second });
+  } else if (http::boot_ms() - loaded_at_ms_ >= collect_all_ms) {
+    fix_window(next_window_);
   }
 }
 
 // Windows that an earlier holder has fixed are sent unchanged, and windows that
 // it has reported are skipped.
 void
-meter::learn_fixed()
+meter::load_fixed_windows()
 {
-  busy_ = true;
+  is_busy_ = true;
   store::call c;
   c.op = store::operation::list;
   c.kind = window_kind;
   store_.perform(c, [this, fence = duty_.fence()](store::reply&& r) {
-    busy_ = false;
+    is_busy_ = false;
     if (r.result != store::call_result::done) {
       retry_later();
       return;
     }
-    fixed_.clear();
+    fixed_windows_.clear();
     for (const auto& o : r.items) {
       const auto number = http::parse_number(o.name);
       const auto value = counts_from(o.spec);
       if (!number || !value) {
         store::log_unreadable(window_kind, { o.name, value.fault });
       } else if (*number <= duty_.recorded()) {
-        to_remove_.insert(*number);
+        windows_to_remove_.insert(*number);
       } else {
-        fixed_[*number] = *value;
+        fixed_windows_[*number] = *value;
       }
     }
-    fence_known_ = fence;
-    held_since_ms_ = http::boot_ms();
-    next_ = duty_.recorded() == 0 ? 0 : duty_.recorded() + 1;
-    if (next_ == 0 && !fixed_.empty()) {
-      next_ = fixed_.begin()->first;
+    loaded_fence_ = fence;
+    loaded_at_ms_ = http::boot_ms();
+    next_window_ = duty_.recorded() == 0 ? 0 : duty_.recorded() + 1;
+    if (next_window_ == 0 && !fixed_windows_.empty()) {
+      next_window_ = fixed_windows_.begin()->first;
     }
     process::log_line(timeline::event{ "usage_duty_begun" }
                         .with("fence", fence)
-                        .with("next", next_)
-                        .with("fixed", fixed_.size()));
+                        .with("next", next_window_)
+                        .with("fixed", fixed_windows_.size()));
   });
 }
 
 void
-meter::fix(std::uint64_t number)
+meter::fix_window(std::uint64_t number)
 {
-  busy_ = true;
-  take(collected_, { settings_.instance, settings_.started_ms, own_ });
-  fixed_window w{ number, sum(collected_, number) };
+  is_busy_ = true;
+  merge(received_counts_,
+        { settings_.instance, settings_.started_ms, own_counts_ });
+  fixed_window w{ number, sum(received_counts_, number) };
   store::call c;
   c.op = store::operation::create;
   c.kind = window_kind;
@@ -292,32 +297,32 @@
 void
 meter::on_fixed(fixed_window&& w, store::reply&& r)
 {
-  busy_ = false;
+  is_busy_ = false;
   process::log_line(timeline::event{ "usage_window_fixed" }
                       .with("window", w.number)
                       .with("workspaces", w.value.size())
                       .with("verdict", store::name_of(r.result)));
   if (r.result == store::call_result::done) {
-    fixed_[w.number] = std::move(w.value);
+    fixed_windows_[w.number] = std::move(w.value);
     return;
   }
   if (r.result == store::call_result::conflict && !r.items.empty()) {
     if (auto value = counts_from(r.items.front().spec)) {
-      fixed_[w.number] = std::move(*value);
+      fixed_windows_[w.number] = std::move(*value);
       return;
     }
   }
-  fence_known_ = r.result == store::call_result::conflict ? std::uint64_t{ 0 }
-                                                          : fence_known_;
+  loaded_fence_ = r.result == store::call_result::conflict ? std::uint64_t{ 0 }
+                                                           : loaded_fence_;
   retry_later();
 }
 
 void
-meter::send(fixed_window w)
+meter::send_report(fixed_window w)
 {
-  busy_ = true;
+  is_busy_ = true;
   http::exchange_options o;
-  o.timeout_ms = send_timeout_ms;
+  o.timeout_ms = report_timeout_ms;
   // Late execution would be harmless, but the connection may be dead.
   o.reset_when_given_up = true;
   const auto request = dialect_.usage_request(
@@ -327,16 +332,16 @@
     request,
     o,
     [this, w = std::move(w)](http::end_state end, http::response&& r) {
-      on_sent(w, end, r);
+      on_report_sent(w, end, r);
     });
 }
 
 void
-meter::on_sent(const fixed_window& w,
-               http::end_state end,
-               const http::response& r)
+meter::on_report_sent(const fixed_window& w,
+                      http::end_state end,
+                      const http::response& r)
 {
-  busy_ = false;
+  is_busy_ = false;
   const bool complete = end == http::end_state::complete;
   const auto answer =
     complete ? dialect_.duty_answer_from(r) : edge::duty_answer::refused;
@@ -348,7 +353,7 @@
   switch (answer) {
     case edge::duty_answer::accepted:
       ++totals_.reported;
-      done(w.number);
+      finish_window(w.number);
       return;
     case edge::duty_answer::fenced:
       duty_.step_down("fenced");
@@ -360,35 +365,36 @@
 }
 
 void
-meter::give_up(std::uint64_t number)
+meter::give_up_window(std::uint64_t number)
 {
   ++totals_.given_up;
   process::log_line(
     timeline::event{ "usage_window_given_up" }.with("window", number));
-  done(number);
+  finish_window(number);
 }
 
 void
-meter::done(std::uint64_t number)
+meter::finish_window(std::uint64_t number)
 {
-  fixed_.erase(number);
-  to_remove_.insert(number);
+  fixed_windows_.erase(number);
+  windows_to_remove_.insert(number);
   duty_.note_progress(number);
-  next_ = number + 1;
+  next_window_ = number + 1;
 }
 
 // Waits until the lease has recorded that the window is done. If its object
 // were removed earlier, another holder could fix the window again with other
 // counts.
 void
-meter::remove_recorded()
+meter::remove_recorded_windows()
 {
-  while (!to_remove_.empty() && *to_remove_.begin() <= duty_.recorded()) {
+  while (!windows_to_remove_.empty() &&
+         *windows_to_remove_.begin() <= duty_.recorded()) {
     store::call c;
     c.op = store::operation::remove;
     c.kind = window_kind;
-    c.name = std::to_string(*to_remove_.begin());
-    to_remove_.erase(to_remove_.begin());
+    c.name = std::to_string(*windows_to_remove_.begin());
+    windows_to_remove_.erase(windows_to_remove_.begin());
     store_.perform(c, [name = c.name](store::reply&& r) {
       process::log_line(timeline::event{ "usage_window_removed" }
                           .with("window", name)
@@ -400,21 +406,22 @@
 void
 meter::retry_later()
 {
-  again_at_ms_ = http::boot_ms() + retry_ms;
+  retry_at_ms_ = http::boot_ms() + retry_ms;
 }
 
 void
 meter::leave()
 {
-  told_ms_ = 0;
-  duty_.leave();
+  counts_sent_at_ms_ = 0;
+  duty_.release();
 }
 
 bool
 meter::has_left() const
 {
-  const bool told = own_.empty() || told_version_ == version_;
-  return !is_on() || (duty_.has_left() && told && !telling_);
+  const bool counts_sent = own_counts_.empty() || sent_version_ == version_;
+  return !is_on() ||
+         (duty_.is_released() && counts_sent && !is_sending_counts_);
 }
 
 } // namespace cactusford::usage
--- a/cactusford/usage/meter.h
+++ b/cactusford/usage/meter.h
@@ -93,19 +93,19 @@
   std::uint64_t now();
   std::uint64_t window_at(std::uint64_t true_ms) const;
   void tick();
-  void tell();
-  void forget_reported();
-  void advance();
-  void learn_fixed();
-  void fix(std::uint64_t number);
+  void send_counts();
+  void drop_reported();
+  void report_next();
+  void load_fixed_windows();
+  void fix_window(std::uint64_t number);
   void on_fixed(fixed_window&& w, store::reply&& r);
-  void send(fixed_window w);
-  void on_sent(const fixed_window& w,
-               http::end_state end,
-               const http::response& r);
-  void give_up(std::uint64_t number);
-  void done(std::uint64_t number);
-  void remove_recorded();
+  void send_report(fixed_window w);
+  void on_report_sent(const fixed_window& w,
+                      http::end_state end,
+                      const http::response& r);
+  void give_up_window(std::uint64_t number);
+  void finish_window(std::uint64_t number);
+  void remove_recorded_windows();
   void retry_later();
 
   http::client& http_;
@@ -116,26 +116,26 @@
   store::watcher watcher_;
   asio::steady_timer ticker_;
   true_time clock_;
-  windows own_;
-  // Incremented with each change of `own_`, and the version that the holder has
-  // accepted.
+  windows own_counts_;
+  // Incremented with each change of `own_counts_`, and the version that the
+  // holder has accepted.
   std::uint64_t version_ = 0;
-  std::uint64_t told_version_ = 0;
-  std::string told_to_;
-  std::uint64_t told_ms_ = 0;
-  bool telling_ = false;
+  std::uint64_t sent_version_ = 0;
+  std::string counts_sent_to_;
+  std::uint64_t counts_sent_at_ms_ = 0;
+  bool is_sending_counts_ = false;
   // State of the holder.
-  collection collected_;
-  std::uint64_t fence_known_ = 0;
-  std::uint64_t held_since_ms_ = 0;
+  received_counts received_counts_;
+  std::uint64_t loaded_fence_ = 0;
+  std::uint64_t loaded_at_ms_ = 0;
   // The window to report next; 0 if not known yet.
-  std::uint64_t next_ = 0;
+  std::uint64_t next_window_ = 0;
   // Windows fixed in the store and not yet reported.
-  windows fixed_;
+  windows fixed_windows_;
   // Objects to remove once the lease has recorded that they are done.
-  std::set<std::uint64_t> to_remove_;
-  std::uint64_t again_at_ms_ = 0;
-  bool busy_ = false;
+  std::set<std::uint64_t> windows_to_remove_;
+  std::uint64_t retry_at_ms_ = 0;
+  bool is_busy_ = false;
   meter_counts totals_;
 };
 
--- a/cactusford/usage/true_time.h
+++ b/cactusford/usage/true_time.h
@@ -13,17 +13,17 @@
 struct true_time
 {
   // The trusted time of day at boot; 0 if not known yet.
-  std::uint64_t boot_at_ms = 0;
+  std::uint64_t trusted_boot_ms = 0;
   // A different value that the clock currently implies, and since when; 0 for
   // none.
-  std::uint64_t stepped_to_ms = 0;
-  std::uint64_t stepped_since_ms = 0;
+  std::uint64_t candidate_boot_ms = 0;
+  std::uint64_t candidate_since_ms = 0;
 
   friend bool operator==(const true_time&, const true_time&) = default;
 };
 
 // Takes a reading of both clocks and returns the corrected time of day.
 std::uint64_t
-look(true_time& t, std::uint64_t wall_ms, std::uint64_t boot_ms);
+correct(true_time& t, std::uint64_t wall_ms, std::uint64_t boot_ms);
 
 } // namespace cactusford::usage
