--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -198,9 +198,9 @@
   if (now_ms < r.keep_missing_until_ms) {
     return false;
   }
-  const auto gone = std::erase_if(
+  const auto removed = std::erase_if(
     r.all, [](const auto& e) { return e.second.missing_since_ms != 0; });
-  return gone > 0;
+  return removed > 0;
 }
 
 backend*
--- a/cactusford/quarantine/evidence-test.cc
+++ b/cactusford/quarantine/evidence-test.cc
@@ -16,43 +16,45 @@
 constexpr std::uint64_t second_ms = 1000;
 constexpr std::uint64_t minute_ms = 60000;
 
-const fingerprint poisonous = "00000000000000aa";
-const fingerprint bystander = "00000000000000bb";
+const fingerprint poison = "00000000000000aa";
+const fingerprint healthy = "00000000000000bb";
 
-// Each instance reports once a moment.
-struct story
+// Builds a sequence of reports, each under its own name.
+struct history
 {
   evidence e;
   std::uint64_t now = start_ms;
-  int next = 0;
+  int next_report = 0;
 
   void add(report r)
   {
     r.at_ms = now;
-    add_report(e, r.reporter + "." + std::to_string(next++), std::move(r));
+    add_report(
+      e, r.reporter + "." + std::to_string(next_report++), std::move(r));
   }
 
-  // A second later a backend server ends; an instance was running these there.
-  void end(const std::string& backend,
-           std::vector<fingerprint> running,
-           const std::string& reporter = "entry-0")
+  // Reports that a backend server crashed a second later while it ran these
+  // requests of the reporter.
+  void crash_later(const std::string& backend,
+                   std::vector<fingerprint> running,
+                   const std::string& reporter = "entry-0")
   {
     now += second_ms;
-    end_now(backend, std::move(running), reporter);
+    crash_now(backend, std::move(running), reporter);
   }
 
-  void end_now(const std::string& backend,
-               std::vector<fingerprint> running,
-               const std::string& reporter = "entry-0")
+  void crash_now(const std::string& backend,
+                 std::vector<fingerprint> running,
+                 const std::string& reporter = "entry-0")
   {
     add({ reporter, now, { { backend, 1, std::move(running) } }, {} });
   }
 
-  void try_again(const fingerprint& f) { add({ "entry-0", now, {}, {}, f }); }
+  void start_trial(const fingerprint& f) { add({ "entry-0", now, {}, {}, f }); }
 
   void answer(const fingerprint& f) { add({ "entry-0", now, {}, { f } }); }
 
-  request_status of(const fingerprint& f, run_kind kind = run_kind::call)
+  request_status status_of(const fingerprint& f, run_kind kind = run_kind::call)
   {
     return evaluate(e, f, kind, now).status;
   }
@@ -61,339 +63,344 @@
 } // namespace
 
 // A request arrives at three entries, one after the other, and each sees one
-// backend server end under it. None of them has seen enough; together they
-// have.
-Test(quarantine, adds_up_what_entries_have_seen_once_each)
+// backend server crash. One crash at an entry is not enough to quarantine the
+// request, but the reports of all three are.
+Test(quarantine, adds_up_reports_of_several_entries)
 {
-  story s;
-  cr_assert(s.of(poisonous) == request_status::clear);
-  s.end("a", { poisonous }, "entry-0");
-  s.end("b", { poisonous }, "entry-1");
-  cr_assert(s.of(poisonous) == request_status::suspected);
-  s.end("c", { poisonous }, "entry-2");
-  cr_assert(s.of(poisonous) == request_status::quarantined);
-  SECTION("a life that two entries saw end has ended once")
+  history s;
+  cr_assert(s.status_of(poison) == request_status::clear);
+  s.crash_later("a", { poison }, "entry-0");
+  s.crash_later("b", { poison }, "entry-1");
+  cr_assert(s.status_of(poison) == request_status::suspected);
+  s.crash_later("c", { poison }, "entry-2");
+  cr_assert(s.status_of(poison) == request_status::quarantined);
+  SECTION("a crash that two entries report counts once")
   {
-    story t;
-    t.end("a", { bystander }, "entry-0");
-    t.end("a", { bystander }, "entry-1");
-    t.end("b", { bystander }, "entry-0");
-    cr_assert(t.of(bystander) == request_status::suspected);
-    cr_assert_eq(evaluate(t.e, bystander, run_kind::call, t.now).crashes, 2);
+    history t;
+    t.crash_later("a", { healthy }, "entry-0");
+    t.crash_later("a", { healthy }, "entry-1");
+    t.crash_later("b", { healthy }, "entry-0");
+    cr_assert(t.status_of(healthy) == request_status::suspected);
+    cr_assert_eq(evaluate(t.e, healthy, run_kind::call, t.now).crashes, 2);
   }
 }
 
-// Servers crash under a healthy request again and again, for causes of their
-// own; between the crashes it is answered. What happened before an answer is
-// not held against it.
-Test(quarantine, an_answer_clears)
+// Servers crash repeatedly for other causes while they run a healthy request,
+// which is answered between the crashes. Crashes before an answer do not count.
+Test(quarantine, an_answer_clears_a_request)
 {
-  story s;
+  history s;
   for (const auto* backend : { "a", "b", "c", "d", "e", "f" }) {
-    s.end(backend, { bystander });
+    s.crash_later(backend, { healthy });
     s.now += second_ms;
-    s.answer(bystander);
+    s.answer(healthy);
     s.now += second_ms;
-    cr_assert(s.of(bystander) == request_status::clear);
+    cr_assert(s.status_of(healthy) == request_status::clear);
   }
 }
 
-// The poisonous request and a healthy one run on the same servers, and both die
-// there, time and again. The poisonous one ends one more server elsewhere: that
-// explains all ends, and nothing is left against the other.
-Test(quarantine, a_bystander_is_not_blamed)
+// A poison request and a healthy one run on the same servers and fail together.
+// The poison request crashes one more server elsewhere, so all crashes are
+// attributed to it and none to the healthy request.
+Test(quarantine, a_healthy_request_is_not_blamed)
 {
-  story s;
-  s.end("a", { poisonous, bystander });
-  s.end("b", { poisonous });
-  s.end("c", { poisonous });
-  cr_assert(s.of(poisonous) == request_status::quarantined);
-  cr_assert(s.of(bystander) == request_status::clear);
-  SECTION("nor one that died once more by chance")
+  history s;
+  s.crash_later("a", { poison, healthy });
+  s.crash_later("b", { poison });
+  s.crash_later("c", { poison });
+  cr_assert(s.status_of(poison) == request_status::quarantined);
+  cr_assert(s.status_of(healthy) == request_status::clear);
+  SECTION("nor is one that met an additional unrelated crash")
   {
-    story t;
-    t.end("a", { poisonous, bystander });
-    t.end("b", { poisonous, bystander });
-    t.end("c", { bystander });
-    cr_assert(t.of(bystander) == request_status::suspected);
-    t.end("d", { poisonous });
-    t.end("e", { poisonous });
-    cr_assert(t.of(poisonous) == request_status::quarantined);
-    cr_assert(t.of(bystander) == request_status::suspected);
+    history t;
+    t.crash_later("a", { poison, healthy });
+    t.crash_later("b", { poison, healthy });
+    t.crash_later("c", { healthy });
+    cr_assert(t.status_of(healthy) == request_status::suspected);
+    t.crash_later("d", { poison });
+    t.crash_later("e", { poison });
+    cr_assert(t.status_of(poison) == request_status::quarantined);
+    cr_assert(t.status_of(healthy) == request_status::suspected);
   }
-  SECTION("two that always ran together: the next end tells")
+  SECTION("if two always ran together, the next crash tells them apart")
   {
-    story t;
+    history t;
     for (const auto* backend : { "a", "b", "c" }) {
-      t.end(backend, { poisonous, bystander });
+      t.crash_later(backend, { poison, healthy });
     }
-    cr_assert(t.of(poisonous) == request_status::suspected);
-    cr_assert(t.of(bystander) == request_status::suspected);
-    t.end("d", { poisonous });
-    cr_assert(t.of(poisonous) == request_status::quarantined);
-    cr_assert(t.of(bystander) == request_status::clear);
+    cr_assert(t.status_of(poison) == request_status::suspected);
+    cr_assert(t.status_of(healthy) == request_status::suspected);
+    t.crash_later("d", { poison });
+    cr_assert(t.status_of(poison) == request_status::quarantined);
+    cr_assert(t.status_of(healthy) == request_status::clear);
   }
-  SECTION("or shows that both are kept out, rather than neither for ever")
+  SECTION("if they still ran together, both are quarantined")
   {
-    story t;
+    history t;
     for (const auto* backend : { "a", "b", "c", "d" }) {
-      t.end(backend, { poisonous, bystander });
+      t.crash_later(backend, { poison, healthy });
     }
-    cr_assert(t.of(poisonous) == request_status::quarantined);
-    cr_assert(t.of(bystander) == request_status::quarantined);
+    cr_assert(t.status_of(poison) == request_status::quarantined);
+    cr_assert(t.status_of(healthy) == request_status::quarantined);
   }
-  SECTION("two poisonous ones are both found")
+  SECTION("two poison requests are both found")
   {
-    story t;
+    history t;
     for (const auto* backend : { "a", "b", "c" }) {
-      t.end(backend, { poisonous });
-      t.end(std::string{ backend } + "2", { bystander });
+      t.crash_later(backend, { poison });
+      t.crash_later(std::string{ backend } + "2", { healthy });
     }
-    cr_assert(t.of(poisonous) == request_status::quarantined);
-    cr_assert(t.of(bystander) == request_status::quarantined);
+    cr_assert(t.status_of(poison) == request_status::quarantined);
+    cr_assert(t.status_of(healthy) == request_status::quarantined);
   }
 }
 
-// A rack goes down with sixty requests, of which some had a second attempt on
-// another server of it. None of them is kept out.
-Test(quarantine, a_rack_that_ends_keeps_nobody_out)
+// A rack fails with sixty requests, some of which had a second attempt on
+// another server of the same rack. None of them may be quarantined.
+Test(quarantine, a_rack_failure_quarantines_nothing)
 {
-  story s;
-  const auto end_rack = [&s](const std::string& rack, int works) {
+  history s;
+  const auto crash_rack = [&s](const std::string& rack, int requests) {
     s.now += second_ms;
     for (int server = 0; server < 40; ++server) {
       std::vector<fingerprint> running;
       for (int i = 0; i < 2; ++i) {
-        running.push_back("work-" + std::to_string((server * 2 + i) % works));
+        running.push_back("work-" +
+                          std::to_string((server * 2 + i) % requests));
       }
-      s.end_now(rack + std::to_string(server), running);
+      s.crash_now(rack + std::to_string(server), running);
     }
   };
-  end_rack("a", 60);
+  crash_rack("a", 60);
   cr_assert(quarantined_calls(s.e, s.now).empty());
-  SECTION("nor does one that comes again and again, if an idle server shows it")
+  SECTION("nor do repeated failures if an idle server crashes each time")
   {
-    story t;
+    history t;
     for (const auto* round : { "a", "b", "c", "d" }) {
-      t.end(std::string{ round } + "1", { bystander });
-      t.end_now(std::string{ round } + "2", {});
+      t.crash_later(std::string{ round } + "1", { healthy });
+      t.crash_now(std::string{ round } + "2", {});
     }
-    cr_assert(t.of(bystander) == request_status::clear);
-    // Another entry tells that it was not idle.
-    t.end_now("d2", { poisonous }, "entry-1");
-    cr_assert(t.of(bystander) == request_status::suspected);
+    cr_assert(t.status_of(healthy) == request_status::clear);
+    // Another entry reports that the server was not idle.
+    t.crash_now("d2", { poison }, "entry-1");
+    cr_assert(t.status_of(healthy) == request_status::suspected);
   }
-  SECTION("nor a request that ran on three of its servers, beside others")
+  SECTION("a request on three servers of the rack, next to others, counts once")
   {
-    story t;
+    history t;
     t.now += second_ms;
-    t.end_now("a", { bystander, "work-1" });
-    t.end_now("b", { "work-2", bystander }, "entry-1");
-    t.end_now("c", { bystander }, "entry-2");
-    cr_assert_eq(evaluate(t.e, bystander, run_kind::call, t.now).crashes, 1);
+    t.crash_now("a", { healthy, "work-1" });
+    t.crash_now("b", { "work-2", healthy }, "entry-1");
+    t.crash_now("c", { healthy }, "entry-2");
+    cr_assert_eq(evaluate(t.e, healthy, run_kind::call, t.now).crashes, 1);
   }
-  SECTION("ends of one request alone count each, however close")
+  SECTION("simultaneous crashes with no other request each count")
   {
-    story t;
+    history t;
     for (const auto* backend : { "a", "b", "c" }) {
-      t.end_now(backend, { poisonous });
+      t.crash_now(backend, { poison });
     }
-    cr_assert(t.of(poisonous) == request_status::quarantined);
+    cr_assert(t.status_of(poison) == request_status::quarantined);
   }
 }
 
-// Three requests that each end every server are sent side by side again and
-// again: to any of them the two others explain all its ends. Their number
-// decides then, as a request that was never answered in so many tries is more
-// likely poisonous than unlucky.
-Test(quarantine, ends_that_others_explain_add_up)
+// Poison requests that are repeatedly sent together explain each other's
+// crashes. The number of crashes then decides, because a request that was never
+// answered in so many attempts is more likely poison than unlucky.
+Test(quarantine, explained_crashes_add_up)
 {
-  const fingerprint third = "00000000000000cc";
-  story s;
+  const fingerprint third_poison = "00000000000000cc";
+  history s;
   for (const auto* backend : { "a", "b", "c", "d" }) {
-    s.end(backend, { poisonous, third });
+    s.crash_later(backend, { poison, third_poison });
   }
-  cr_assert(s.of(poisonous) == request_status::quarantined);
-  SECTION("one that was beside them three times may run")
+  cr_assert(s.status_of(poison) == request_status::quarantined);
+  SECTION("a request with three explained crashes may still run")
   {
-    story t;
-    t.end("a", { poisonous });
+    history t;
+    t.crash_later("a", { poison });
     for (const auto* backend : { "b", "c", "d" }) {
-      t.end(backend, { poisonous, bystander });
+      t.crash_later(backend, { poison, healthy });
     }
-    const auto v = evaluate(t.e, bystander, run_kind::call, t.now);
+    const auto v = evaluate(t.e, healthy, run_kind::call, t.now);
     cr_assert(v.status == request_status::clear);
     cr_assert_eq(v.explained, 3);
-    cr_assert(has_crashes(v), "one run at a time");
-    t.end("e", { poisonous, bystander });
-    cr_assert(t.of(bystander) == request_status::quarantined);
+    cr_assert(has_crashes(v), "it must be limited to one run at a time");
+    t.crash_later("e", { poison, healthy });
+    cr_assert(t.status_of(healthy) == request_status::quarantined);
   }
-  SECTION("one answer clears it of all")
+  SECTION("one answer clears a request of all crashes")
   {
     s.now += second_ms;
-    s.answer(third);
-    cr_assert_not(has_crashes(evaluate(s.e, third, run_kind::call, s.now)));
+    s.answer(third_poison);
+    cr_assert_not(
+      has_crashes(evaluate(s.e, third_poison, run_kind::call, s.now)));
   }
 }
 
-// All servers go down together each second, and a poisonous request ends one in
-// between. Reports gather for a fifth of a second; each end keeps the time at
-// which it was seen, or half of the poisonous one's would count as the rack's.
-Test(quarantine, an_idle_server_explains_only_what_ended_with_it)
+// All servers crash together each second, and a poison request crashes one in
+// between. A report collects crashes for a fifth of a second. Each crash must
+// keep its own time: with the time of the report, half of the crashes by the
+// poison request would count as part of the rack failure.
+Test(quarantine, an_idle_crash_explains_only_simultaneous_crashes)
 {
-  story s;
-  const auto end_at = [&](const std::string& backend, std::uint64_t at_ms) {
-    report r{ "entry-0", s.now, { { backend, 1, { poisonous }, at_ms } }, {} };
+  history s;
+  const auto crash_at = [&](const std::string& backend, std::uint64_t at_ms) {
+    report r{ "entry-0", s.now, { { backend, 1, { poison }, at_ms } }, {} };
     s.add(r);
   };
   for (const auto* round : { "a", "b", "c" }) {
     s.now += second_ms;
-    end_at(std::string{ round } + "1", s.now - 100);
-    s.end_now(std::string{ round } + "2", {}, "entry-1");
+    crash_at(std::string{ round } + "1", s.now - 100);
+    s.crash_now(std::string{ round } + "2", {}, "entry-1");
   }
-  cr_assert(s.of(poisonous) == request_status::quarantined);
-  SECTION("six that ended with it are enough too")
+  cr_assert(s.status_of(poison) == request_status::quarantined);
+  SECTION("six crashes together with an idle server are also enough")
   {
-    story t;
+    history t;
     for (const auto* round : { "a", "b", "c", "d", "e" }) {
-      t.end(std::string{ round } + "1", { poisonous });
-      t.end_now(std::string{ round } + "2", {});
+      t.crash_later(std::string{ round } + "1", { poison });
+      t.crash_now(std::string{ round } + "2", {});
     }
-    cr_assert(t.of(poisonous) == request_status::clear);
-    t.end("f1", { poisonous });
-    t.end_now("f2", {});
-    cr_assert(t.of(poisonous) == request_status::quarantined);
+    cr_assert(t.status_of(poison) == request_status::clear);
+    t.crash_later("f1", { poison });
+    t.crash_now("f2", {});
+    cr_assert(t.status_of(poison) == request_status::quarantined);
   }
 }
 
-Test(quarantine, an_item_needs_more_ends_than_a_call)
+Test(quarantine, an_item_needs_more_crashes_than_a_call)
 {
-  story s;
+  history s;
   for (const auto* backend : { "a", "b", "c", "d" }) {
-    s.end(backend, { poisonous });
+    s.crash_later(backend, { poison });
   }
-  cr_assert(s.of(poisonous) == request_status::quarantined);
-  cr_assert(s.of(poisonous, run_kind::item) == request_status::suspected);
-  s.end("e", { poisonous });
-  cr_assert(s.of(poisonous, run_kind::item) == request_status::quarantined);
+  cr_assert(s.status_of(poison) == request_status::quarantined);
+  cr_assert(s.status_of(poison, run_kind::item) == request_status::suspected);
+  s.crash_later("e", { poison });
+  cr_assert(s.status_of(poison, run_kind::item) == request_status::quarantined);
 }
 
-Test(quarantine, forgets_in_steps)
+Test(quarantine, expires_in_steps)
 {
-  story s;
+  history s;
   for (const auto* backend : { "a", "b", "c" }) {
-    s.end(backend, { poisonous });
+    s.crash_later(backend, { poison });
   }
-  const auto v = evaluate(s.e, poisonous, run_kind::call, s.now);
+  const auto v = evaluate(s.e, poison, run_kind::call, s.now);
   cr_assert_eq(v.until_ms, s.now + 10 * minute_ms);
-  SECTION("kept out for ten minutes")
+  SECTION("a request is quarantined for ten minutes")
   {
     s.now += 10 * minute_ms - 1;
-    cr_assert(s.of(poisonous) == request_status::quarantined);
+    cr_assert(s.status_of(poison) == request_status::quarantined);
   }
-  SECTION("then tried again, by one alone, and kept out by one end more")
+  SECTION("then one trial may run, and one more crash quarantines it again")
   {
     s.now += 1;
-    cr_assert(s.of(poisonous) == request_status::on_trial);
-    s.try_again(poisonous);
-    cr_assert(s.of(poisonous) == request_status::quarantined);
-    s.end("d", { poisonous });
-    cr_assert_eq(evaluate(s.e, poisonous, run_kind::call, s.now).until_ms,
+    cr_assert(s.status_of(poison) == request_status::on_trial);
+    s.start_trial(poison);
+    cr_assert(s.status_of(poison) == request_status::quarantined);
+    s.crash_later("d", { poison });
+    cr_assert_eq(evaluate(s.e, poison, run_kind::call, s.now).until_ms,
                  s.now + 10 * minute_ms);
   }
-  SECTION("or cleared by an answer")
+  SECTION("an answer clears it")
   {
     s.now += 10 * minute_ms;
-    s.answer(poisonous);
-    cr_assert(s.of(poisonous) == request_status::clear);
+    s.answer(poison);
+    cr_assert(s.status_of(poison) == request_status::clear);
   }
-  SECTION("after an hour nothing is left of it")
+  SECTION("after an hour all reports have expired")
   {
     s.now += 60 * minute_ms + 1;
     cr_assert_eq(expire_reports(s.e, s.now).size(), 6);
-    cr_assert(s.of(poisonous) == request_status::clear);
+    cr_assert(s.status_of(poison) == request_status::clear);
     cr_assert(s.e.reports.empty());
   }
 }
 
 Test(quarantine, holds_a_bounded_number_of_reports)
 {
-  story s;
+  history s;
   constexpr int many = 5000;
   for (int i = 0; i < many; ++i) {
     s.now += 1;
-    s.end("server-" + std::to_string(i), { "work-" + std::to_string(i) });
+    s.crash_later("server-" + std::to_string(i),
+                  { "work-" + std::to_string(i) });
   }
   cr_assert_eq(s.e.reports.size(), s.e.limits.max_reports);
-  SECTION("the oldest go first")
+  SECTION("the oldest reports are dropped first")
   {
-    cr_assert(s.of("work-0") == request_status::clear);
-    cr_assert(s.of("work-" + std::to_string(many - 1)) ==
+    cr_assert(s.status_of("work-0") == request_status::clear);
+    cr_assert(s.status_of("work-" + std::to_string(many - 1)) ==
               request_status::suspected);
   }
 }
 
-// At full size each of 11,000 backend servers runs work of some forty entries.
-// 120 of them crash on an ordinary day, each reported by all that had work
-// there, and every report goes to every entry.
+// At full size each of 11,000 backend servers runs requests of some forty
+// entries. On an ordinary day 120 servers crash, each is reported by all
+// entries with requests there, and every report reaches every entry.
 Test(quarantine, costs_little_at_full_size)
 {
-  constexpr std::size_t entries_at_a_server = 40;
-  constexpr double ends_a_day = 120;
+  constexpr std::size_t entries_per_server = 40;
+  constexpr double crashes_per_day = 120;
   constexpr double day_s = 86400;
-  constexpr double budget_bytes_s = 2048;
+  constexpr double budget_bytes_per_s = 2048;
   report r{ "entry-dc-a-0001", start_ms, { { "i-7f3a91c2de", 1, {} } }, {} };
-  r.crashes[0].running = { poisonous, bystander };
+  r.crashes[0].running = { poison, healthy };
   const auto bytes = static_cast<double>(encode(r).dump().size());
-  const auto bytes_s = bytes * entries_at_a_server * ends_a_day / day_s;
-  std::printf(
-    "    %.0f bytes a report, %.1f bytes/s at each entry\n", bytes, bytes_s);
-  // A hundredth of what a node may spend on control in all.
-  cr_assert_lt(bytes_s, budget_bytes_s / 100);
+  const auto bytes_per_s = bytes * entries_per_server * crashes_per_day / day_s;
+  std::printf("    %.0f bytes a report, %.1f bytes/s at each entry\n",
+              bytes,
+              bytes_per_s);
+  // One percent of the total control traffic that a node may use.
+  cr_assert_lt(bytes_per_s, budget_bytes_per_s / 100);
 }
 
 namespace {
 
-struct tally
+struct totals
 {
-  int others_refused = 0;
-  // Servers that the poisonous one ended.
+  int healthy_quarantined = 0;
+  // Servers that the poison request crashed.
   int crashes = 0;
 };
 
-// Ten minutes of a service of 300 kinds of work in which a server ends every
-// five seconds, 140 times as often as the whole fleet's do on an ordinary day:
-// most by themselves and some under the poisonous request, with what else runs
-// there. One other request runs beside the poisonous one each second time. What
-// died is asked for again, and three in five are answered each second.
-tally
-play(std::uint64_t seed, const evidence_limits& limits)
+// Simulates ten minutes of a service with 300 different requests in which a
+// server crashes every five seconds, 140 times as often as in the whole fleet
+// on an ordinary day. Most crashes are unrelated to requests, and some are
+// caused by the poison request together with whatever else runs there. A
+// certain healthy request runs next to the poison one every second time.
+// Requests that failed are sent again, and three in five of them are answered
+// each second.
+totals
+simulate(std::uint64_t seed, const evidence_limits& limits)
 {
   std::mt19937_64 random{ seed };
   const auto below = [&](std::uint64_t n) { return random() % n; };
-  story s;
+  history s;
   s.e.limits = limits;
-  tally t;
+  totals t;
   std::set<fingerprint> unanswered;
   constexpr int rounds = 120;
   constexpr int seconds_between = 5;
   for (int i = 0; i < rounds; ++i) {
     std::vector<fingerprint> running;
-    for (auto beside = below(4); beside > 0; --beside) {
+    for (auto companions = below(4); companions > 0; --companions) {
       running.push_back(std::to_string(1'000'000'000'000'000 + below(300)));
     }
-    if (below(4) == 0 && s.of(poisonous) != request_status::quarantined) {
+    if (below(4) == 0 && s.status_of(poison) != request_status::quarantined) {
       ++t.crashes;
-      running.push_back(poisonous);
+      running.push_back(poison);
       if (below(2) == 0) {
-        running.push_back(bystander);
+        running.push_back(healthy);
       }
     }
-    s.end_now("s" + std::to_string(i), running);
+    s.crash_now("s" + std::to_string(i), running);
     unanswered.insert(running.begin(), running.end());
-    unanswered.erase(poisonous);
+    unanswered.erase(poison);
     for (const auto& [f, v] : quarantined_calls(s.e, s.now)) {
-      t.others_refused += f != poisonous ? 1 : 0;
+      t.healthy_quarantined += f != poison ? 1 : 0;
     }
     for (int second = 0; second < seconds_between; ++second) {
       s.now += second_ms;
@@ -411,20 +418,22 @@
 
 } // namespace
 
-// Seeds 1 to 200: the poisonous one is kept out after three ends, or four where
-// another always ran beside it, and nobody else ever is.
-Test(quarantine, finds_the_poisonous_one_and_nobody_else)
+// Seeds 1 to 200: the poison request is quarantined after three crashes, or
+// four if another request always ran next to it. No healthy request is
+// quarantined.
+Test(quarantine, finds_only_the_poison_request)
 {
-  tally all;
+  totals all;
   constexpr std::uint64_t seeds = 200;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const auto t = play(seed, {});
-    all.others_refused += t.others_refused;
+    const auto t = simulate(seed, {});
+    all.healthy_quarantined += t.healthy_quarantined;
     all.crashes = std::max(all.crashes, t.crashes);
   }
-  std::printf("    others refused %d, ends by the poisonous one %d at most\n",
-              all.others_refused,
-              all.crashes);
-  cr_assert_eq(all.others_refused, 0);
+  std::printf(
+    "    healthy quarantined %d, crashes by the poison request %d at most\n",
+    all.healthy_quarantined,
+    all.crashes);
+  cr_assert_eq(all.healthy_quarantined, 0);
   cr_assert_leq(all.crashes, 4);
 }
--- a/cactusford/quarantine/evidence.cc
+++ b/cactusford/quarantine/evidence.cc
@@ -61,16 +61,16 @@
 std::vector<std::string>
 expire_reports(evidence& e, std::uint64_t now_ms)
 {
-  std::vector<std::string> gone;
+  std::vector<std::string> expired;
   for (const auto& [name, r] : e.reports) {
     if (r.at_ms + e.limits.retention_ms < now_ms) {
-      gone.push_back(name);
+      expired.push_back(name);
     }
   }
-  for (const auto& name : gone) {
+  for (const auto& name : expired) {
     remove_report(e, name);
   }
-  return gone;
+  return expired;
 }
 
 bool
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -1,4 +1,4 @@
-// Guards that share a store, in one process.
+// Several quarantine managers that share a store, in one process.
 #include "cactusford/quarantine/manager.h"
 
 #include "cactusford/http/socket.h"
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Longer than any step here takes; reached only when something hangs.
+// Longer than any step here takes; reached only if a test hangs.
 constexpr std::uint64_t timeout_ms = 30000;
 
-const fingerprint poisonous = "00000000000000aa";
+const fingerprint poison = "00000000000000aa";
 
-// An address where nothing listens, as that of a server that has ended.
+// Returns an address that refuses connections, like that of a crashed server.
 std::string
 closed_address(asio::io_context& io)
 {
@@ -79,46 +79,46 @@
 
 } // namespace
 
-// One guard sees three ends. The other, which saw none, keeps the request out a
-// moment later; an answer that the first sees clears it at both.
-Test(quarantine_manager, tells_the_others)
+// One manager detects three crashes. The other one, which saw none, quarantines
+// the request soon after. An answer that the first one sees clears it at both.
+Test(quarantine_manager, shares_reports_with_other_instances)
 {
   fixture f;
   instance a{ f.io, f.store.address(), { "a", false } };
   instance b{ f.io, f.store.address(), { "b", false } };
   f.run_until([&] { return a.manager.is_current() && b.manager.is_current(); });
   const auto is_quarantined = [](instance& i) {
-    return i.manager.evaluate(poisonous, run_kind::call).status ==
+    return i.manager.evaluate(poison, run_kind::call).status ==
            request_status::quarantined;
   };
   for (int i = 0; i < 3; ++i) {
-    f.crash_under(a, poisonous);
+    f.crash_under(a, poison);
   }
   cr_assert(is_quarantined(a));
   f.run_until([&] { return is_quarantined(b); });
-  a.manager.on_answered(poisonous);
+  a.manager.on_answered(poison);
   f.run_until([&] { return !is_quarantined(a) && !is_quarantined(b); });
 }
 
-// Somewhere a reset or a lost answer cut the connection, and the server
-// next_server on. Nothing is reported.
-Test(quarantine_manager, a_cut_alone_is_no_end)
+// A connection is lost by a reset or a lost response while the server keeps
+// running. Nothing is reported.
+Test(quarantine_manager, a_lost_connection_alone_is_not_a_crash)
 {
   fixture f;
   instance a{ f.io, f.store.address(), { "a", false } };
   f.run_until([&] { return a.manager.is_current(); });
-  a.manager.on_connection_lost({ "server", 1 }, f.store.address(), poisonous);
+  a.manager.on_connection_lost({ "server", 1 }, f.store.address(), poison);
   f.crash_under(a, "00000000000000bb");
   f.run_until([&] { return f.reports() > 0; });
   cr_assert_eq(a.manager.counts().connections_lost, 2);
   cr_assert_eq(a.manager.counts().crashes, 1);
-  cr_assert(a.manager.evaluate(poisonous, run_kind::call).status ==
+  cr_assert(a.manager.evaluate(poison, run_kind::call).status ==
             request_status::clear);
 }
 
-// The store is away for long while servers end. What is seen waits, as much as
-// fits, and is written when the store is back.
-Test(quarantine_manager, holds_back_a_bounded_number_of_reports, .timeout = 60)
+// Servers crash during a long store outage. A bounded number of reports waits
+// and is written when the store is back.
+Test(quarantine_manager, queues_a_bounded_number_of_reports, .timeout = 60)
 {
   fixture f;
   bool is_down = true;
@@ -130,7 +130,7 @@
   instance a{ f.io, f.store.address(), { "a", false } };
   f.run_until([&] { return a.manager.is_current(); });
   while (a.manager.counts().reports_dropped == 0) {
-    f.crash_under(a, poisonous);
+    f.crash_under(a, poison);
     const auto until = http::now_ms() + 30;
     f.run_until([&] { return http::now_ms() >= until; });
   }
@@ -141,8 +141,9 @@
   cr_assert_leq(f.reports(), max_pending_reports + 1);
 }
 
-// The answer to a write is lost, and the same write again meets its own object:
-// it is written, and not once more under another name.
+// The response to a write is lost, and the retry conflicts with the object that
+// the first attempt created. The report counts as written and is not written
+// again under another name.
 Test(quarantine_manager, writes_each_report_once)
 {
   fixture f;
@@ -154,14 +155,14 @@
   };
   instance a{ f.io, f.store.address(), { "a", false } };
   f.run_until([&] { return a.manager.is_current(); });
-  f.crash_under(a, poisonous);
+  f.crash_under(a, poison);
   f.run_until([&] { return a.manager.counts().reports_written == 1; });
   cr_assert_eq(f.reports(), 1);
 }
 
-// Reports that count no more would fill the store. Who wrote them removes them;
-// those of an instance that is gone are removed by a relay.
-Test(quarantine_manager, removes_what_counts_no_more, .timeout = 60)
+// Expired reports would fill the store. The instance that wrote them removes
+// them; those of an instance that no longer exists are removed by a relay.
+Test(quarantine_manager, removes_expired_reports, .timeout = 60)
 {
   fixture f;
   evidence_limits short_retention;
@@ -170,8 +171,8 @@
   f.run_until([&] { return a.manager.is_current(); });
   f.store.put(std::string{ report_kind },
               report_name("gone", 1),
-              encode({ "gone", 1, { { "server", 1, { poisonous } } }, {} }));
-  f.crash_under(a, poisonous);
+              encode({ "gone", 1, { { "server", 1, { poison } } }, {} }));
+  f.crash_under(a, poison);
   f.run_until([&] { return a.manager.counts().reports_written == 1; });
   cr_assert_eq(f.reports(), 2);
   f.run_until([&] { return f.reports() == 1; });
@@ -182,9 +183,9 @@
   cr_assert_eq(a.manager.reports(), 0);
 }
 
-// A request may be tried again. Of two instances that it reaches at the same
-// time one sends it.
-Test(quarantine_manager, lets_one_instance_try_again)
+// A request on trial arrives at two instances at the same time. Only one of
+// them may run it.
+Test(quarantine_manager, lets_one_instance_run_a_trial)
 {
   fixture f;
   instance a{ f.io, f.store.address(), { "a", false } };
@@ -193,13 +194,13 @@
   int answered = 0;
   int mine = 0;
   for (auto* i : { &a, &b }) {
-    i->manager.claim_trial(poisonous, [&](bool is_mine) {
+    i->manager.claim_trial(poison, [&](bool is_mine) {
       ++answered;
       mine += is_mine ? 1 : 0;
     });
   }
   f.run_until([&] { return answered == 2; });
-  // Two spans of time may meet here.
+  // The two claims may fall into different time slots, so both may succeed.
   cr_assert_geq(mine, 1);
   cr_assert_eq(static_cast<std::size_t>(mine), f.reports());
 }
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -163,7 +163,7 @@
     return;
   }
   if (unconfirmed_.size() >= max_unconfirmed) {
-    process::log_line(timeline::event{ "cut_not_looked_at" }
+    process::log_line(timeline::event{ "probe_skipped" }
                         .with("backend", of.id)
                         .with("work", f)
                         .with("unconfirmed", unconfirmed_.size()));
@@ -221,7 +221,7 @@
     r.crashes.push_back({ of.id, of.started_ms, running, timeline::wall_ms() });
   } else {
     // More crashes than one request can cause within a report interval.
-    process::log_line(timeline::event{ "end_not_reported" }
+    process::log_line(timeline::event{ "crash_not_reported" }
                         .with("backend", of.id)
                         .with("report", open_report_.name));
   }
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -1,5 +1,6 @@
-// Items that end the engines that run them, and scorers' calls that end the
-// servers that score: entries, store and engines in one process.
+// Poison items, which crash the engines that run them, and poison scorer calls,
+// which crash the servers that score. Entries, store and engines run in one
+// process.
 #include "cactusford/testing/section.h"
 #include "standins/frail_service.h"
 #include "tests/batches_world.h"
@@ -9,20 +10,20 @@
 
 namespace {
 
-// The promise to the platform: three ends, and three runs more by those that
-// hear of them late.
-constexpr std::size_t most_ends = 6;
+// The promise to the platform: at most three crashes, plus three more runs by
+// instances that receive the reports late.
+constexpr std::size_t max_crashes = 6;
 
-// Engines that are replaced as they end.
-struct pool
+// A pool in which crashed engines are replaced.
+struct engine_pool
 {
   world& w;
   std::vector<std::unique_ptr<stream_engine>> all;
-  std::string fatal_body;
+  std::string poison_body;
 
-  pool(world& of, std::size_t engines, std::string fatal)
+  engine_pool(world& of, std::size_t engines, std::string poison)
     : w{ of }
-    , fatal_body{ std::move(fatal) }
+    , poison_body{ std::move(poison) }
   {
     for (std::size_t i = 0; i < engines; ++i) {
       add();
@@ -33,22 +34,22 @@
   {
     const auto id = "engine-" + std::to_string(all.size());
     all.push_back(std::make_unique<stream_engine>(w.io, id));
-    all.back()->fatal_body = fatal_body;
+    all.back()->fatal_body = poison_body;
     for (const auto& e : w.entries) {
       e->know(id, "engines", all.back()->address(), 1);
     }
   }
 
-  std::size_t ends() const
+  std::size_t crashes() const
   {
     return static_cast<std::size_t>(std::count_if(
       all.begin(), all.end(), [](const auto& e) { return e->has_ended; }));
   }
 
-  // A new engine for each that has ended.
+  // Adds a new engine for each one that has crashed.
   void replace(std::size_t& replaced)
   {
-    for (; replaced < ends(); ++replaced) {
+    for (; replaced < crashes(); ++replaced) {
       add();
     }
   }
@@ -56,7 +57,7 @@
   void run_for(std::uint64_t ms)
   {
     const auto until = http::now_ms() + ms;
-    auto replaced = ends();
+    auto replaced = crashes();
     w.run_until([&] {
       replace(replaced);
       return http::now_ms() >= until;
@@ -65,7 +66,7 @@
 
   void run_until(const std::function<bool()>& done)
   {
-    auto replaced = ends();
+    auto replaced = crashes();
     w.run_until([&] {
       replace(replaced);
       return done();
@@ -74,14 +75,15 @@
 };
 
 std::string
-submission_with(const char* fatal_body)
+submission_with(const char* body)
 {
   auto j = json::parse(submission(6));
-  j["items"][0]["body"] = fatal_body;
+  j["items"][0]["body"] = body;
   return j.dump();
 }
 
-// The engine and the entries that know it from the start do not take part.
+// Removes the engine that all entries know from the start, so that only engines
+// of the pool run items.
 void
 withdraw_first_engine(world& w)
 {
@@ -92,29 +94,29 @@
 
 } // namespace
 
-// A trainer's step holds an item that ends each engine as it begins. Its run is
-// cut, and the item goes on to the next engine at once, for as long as there
-// are engines; all other items lose their runs with each. The owner sees all of
-// the ends itself: after five it sends the item nowhere, and the others are
-// whole.
-Test(quarantine, an_item_that_ends_engines_waits, .timeout = 60)
+// A batch contains an item that crashes each engine as soon as it starts.
+// Without a limit the item would be retried on the next engine at once for as
+// long as there are engines, and all other items would lose their runs with
+// each crash. The owner sees all crashes itself: after five it no longer sends
+// the item, and the other items complete.
+Test(quarantine, a_poison_item_waits, .timeout = 60)
 {
   world w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
-  pool engines{ w, 3, "fatal" };
+  engine_pool engines{ w, 3, "fatal" };
   cr_assert_eq(w.call(e, "POST", submission_with("fatal")), 202);
-  engines.run_until([&] { return engines.ends() >= 5; });
+  engines.run_until([&] { return engines.crashes() >= 5; });
   engines.run_for(2000);
-  cr_assert_leq(engines.ends(), most_ends);
-  SECTION("the other items are whole")
+  cr_assert_leq(engines.crashes(), max_crashes);
+  SECTION("the other items complete")
   {
     const auto page = w.read(e);
     cr_assert(page.has_value());
     cr_assert_eq(page->at("results").size(), 5);
   }
-  SECTION("and it isn't given up before its time")
+  SECTION("the poison item is not abandoned before its deadline")
   {
     const auto page = w.read(e);
     for (const auto& r : page->at("results")) {
@@ -123,23 +125,24 @@
   }
 }
 
-// Engines crash by turns, and the items of a step die with them again and
-// again, long after they began. They have text by then: nothing is held against
-// them, and the step is whole at last.
-Test(quarantine, items_that_die_with_their_engines_go_on, .timeout = 60)
+// Engines crash one after another for unrelated causes, and the items of a
+// batch lose their runs again and again, long after they started. The items
+// have produced text by then, so the crashes do not count against them, and all
+// of them complete in the end.
+Test(quarantine, items_on_crashing_engines_complete, .timeout = 60)
 {
   world w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
-  pool engines{ w, 3, "" };
-  const auto slow_down = [&] {
+  engine_pool engines{ w, 3, "" };
+  const auto slow_engines = [&] {
     for (const auto& engine : engines.all) {
       engine->events = 40;
       engine->gap_ms = 30;
     }
   };
-  slow_down();
+  slow_engines();
   cr_assert_eq(w.call(e, "POST", submission(6)), 202);
   constexpr int crashes = 8;
   for (int i = 0; i < crashes; ++i) {
@@ -148,7 +151,7 @@
     victim.end();
     engines.run_until([&] { return victim.has_ended; });
     engines.add();
-    slow_down();
+    slow_engines();
   }
   const auto all = w.read_whole(e, 6);
   for (const auto& r : all) {
@@ -157,12 +160,11 @@
   cr_assert_eq(e.guard.counts().refusals, 0);
 }
 
-// A scorer's call ends each server that runs it. It is made again and again
-// until its item is given up, with a second attempt elsewhere each time. After
-// three ends nothing is sent for it; other texts are scored all along.
-Test(quarantine,
-     a_scorers_call_that_ends_servers_is_not_made_again,
-     .timeout = 60)
+// A scorer call crashes each server that runs it. Without the quarantine it
+// would be repeated until its item is abandoned, with a second attempt on
+// another server each time. After three crashes it is no longer sent, while
+// other texts are still scored.
+Test(quarantine, a_poison_scorer_call_is_not_repeated, .timeout = 60)
 {
   world w{ 1 };
   auto& e = *w.entries[0];
@@ -170,17 +172,17 @@
   e.guard.start();
   standins::frail_options o;
   o.service = "scorers";
-  std::set<std::string> fatal_bodies;
+  std::set<std::string> poison_bodies;
   o.is_fatal = [&](const http::request& r) {
     const bool is_fatal =
       http::find(r.fields, "Id").value_or("") == "score-item0";
     if (is_fatal) {
-      fatal_bodies.insert(r.body);
+      poison_bodies.insert(r.body);
     }
     return is_fatal;
   };
   standins::frail_service scorers{ w.io, w.store, o };
-  store::watcher backend_list{
+  store::watcher backend_watcher{
     e.io,
     e.store,
     { "backends", 1000 },
@@ -198,16 +200,16 @@
       },
       {} }
   };
-  backend_list.start();
+  backend_watcher.start();
   auto j = json::parse(submission(6));
   j["items"][0]["scorer_body"] = "fatal";
   cr_assert_eq(w.call(e, "POST", j.dump()), 202);
   w.run_until([&] { return scorers.ends() >= 3; });
   const auto until = http::now_ms() + 3000;
   w.run_until([&] { return http::now_ms() >= until; });
-  cr_assert_leq(scorers.ends(), most_ends);
-  cr_assert(fatal_bodies == std::set<std::string>{ "fatal" },
-            "each run has the bytes that were submitted");
+  cr_assert_leq(scorers.ends(), max_crashes);
+  cr_assert(poison_bodies == std::set<std::string>{ "fatal" },
+            "each run must get the bytes that were submitted");
   const auto page = w.read(e);
   cr_assert(page.has_value());
   cr_assert_eq(page->at("results").size(), 5);
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -1,5 +1,5 @@
-// A request that ends every backend server that runs it: entries as processes,
-// the store and the servers in the test.
+// Poison requests, which crash every backend server that runs them. Entries run
+// as processes; the store and the servers run in the test.
 #include "cactusford/testing/section.h"
 #include "tests/process_cluster.h"
 
@@ -13,191 +13,197 @@
 
 namespace {
 
-// How long instances may take to hear of each other, by the promise: after that
-// a request that ended three servers reaches no more than three.
-constexpr std::uint64_t contact_ms = 3000;
-constexpr std::size_t ends_before = 3;
-constexpr std::size_t late_runs_allowed = 3;
+// Time within which the promise requires reports to reach all instances. After
+// it, a request that crashed three servers may reach at most three more.
+constexpr std::uint64_t propagation_ms = 3000;
+constexpr std::size_t crashes_to_quarantine = 3;
+constexpr std::size_t max_late_runs = 3;
 
-using world = testing::process_cluster;
+using cluster = testing::process_cluster;
 using answer = testing::exchange_result;
 using testing::poison_body;
 
-// Sends a fatal request to one entry after the other until three servers have
-// ended under it.
+// Sends a poison request to one entry after the other until it has crashed
+// three servers.
 void
-end_three(world& w,
-          const std::string& target = "/look/",
-          const std::string& key = {})
+crash_three(cluster& c,
+            const std::string& target = "/look/",
+            const std::string& key = {})
 {
-  const auto before = w.service.ends();
-  for (std::size_t at = 0; w.service.ends() < before + ends_before; ++at) {
-    w.wait_for_servers();
-    w.call(at % w.entries.size(), poison_body, target, key);
+  const auto before = c.service.ends();
+  for (std::size_t at = 0; c.service.ends() < before + crashes_to_quarantine;
+       ++at) {
+    c.wait_for_servers();
+    c.call(at % c.entries.size(), poison_body, target, key);
   }
-  w.wait_for_servers();
+  c.wait_for_servers();
 }
 
-// Refused, with a time that says minutes: a server that is down is back sooner.
+// Returns true if the request was refused with a Retry-After of minutes. A
+// server that is down restarts sooner, so such a value means quarantine.
 bool
-is_kept_out(const answer& a)
+is_quarantined(const answer& a)
 {
-  constexpr std::uint64_t least_s = 60;
-  const auto back_s = http::number(a.value.fields, "Retry-After");
-  return a.value.status == 503 && back_s.value_or(0) >= least_s;
+  constexpr std::uint64_t min_retry_after_s = 60;
+  const auto retry_after_s = http::number(a.value.fields, "Retry-After");
+  return a.value.status == 503 &&
+         retry_after_s.value_or(0) >= min_retry_after_s;
 }
 
-// It comes twice more at each entry, while others are served.
+// Sends the poison request to each entry twice more and expects that it is
+// refused while other requests are served.
 void
-expect_kept_out(world& w, const std::string& target)
+expect_quarantined(cluster& c, const std::string& target)
 {
-  const auto before = w.count_poison_runs();
+  const auto before = c.count_poison_runs();
   std::size_t served = 0;
-  for (std::size_t i = 0; i < 2 * w.entries.size(); ++i) {
-    const auto at = i % w.entries.size();
-    cr_expect(is_kept_out(w.call(at, poison_body, target)));
-    served += w.call(at, "other", target).value.status == 200 ? 1 : 0;
-    w.wait_for_servers();
+  for (std::size_t i = 0; i < 2 * c.entries.size(); ++i) {
+    const auto at = i % c.entries.size();
+    cr_expect(is_quarantined(c.call(at, poison_body, target)));
+    served += c.call(at, "other", target).value.status == 200 ? 1 : 0;
+    c.wait_for_servers();
   }
-  cr_expect_leq(w.count_poison_runs() - before, late_runs_allowed);
-  cr_expect_eq(served, 2 * w.entries.size());
+  cr_expect_leq(c.count_poison_runs() - before, max_late_runs);
+  cr_expect_eq(served, 2 * c.entries.size());
 }
 
 } // namespace
 
-// A caller's request ends each server that runs it. It comes again at one entry
-// after the other, and all servers of the service go down together, again and
-// again, while its callers are refused. Each entry judges each attempt alone:
-// nothing remembers that servers have ended under this request, so it is sent
-// to two more whenever it comes. Proof: the same fingerprint in all rounds.
-Test(quarantine, keeps_out_a_request_that_ends_servers, .timeout = 120)
+// Guards against a poison request that takes down all servers of a service
+// again and again, so that other callers are refused. This happens if each
+// entry judges each attempt on its own: without a record of the crashes, the
+// request is sent to two more servers whenever it arrives. It has the same
+// fingerprint every time, which is what the quarantine recognises.
+Test(quarantine, refuses_a_request_that_crashes_servers, .timeout = 120)
 {
-  world w{ "plain", 3 };
-  cr_assert_eq(w.call(0, "other").value.status, 200);
-  end_three(w);
-  w.run_for(contact_ms);
-  expect_kept_out(w, "/look/");
+  cluster c{ "plain", 3 };
+  cr_assert_eq(c.call(0, "other").value.status, 200);
+  crash_three(c);
+  c.run_for(propagation_ms);
+  expect_quarantined(c, "/look/");
 }
 
-// The same, for a booking, which runs once at most, and for a stream. Neither
-// is tried a second time, so that each arrival ends one server and is answered
-// 502: it may have run. From the fourth on the caller is told that it has not.
-Test(quarantine, keeps_out_bookings_and_streams_too, .timeout = 120)
+// The same for a booking, which runs at most once, and for a stream. Neither is
+// retried, so each of the first three arrivals crashes one server and is
+// answered with 502, because it may have run. From the fourth on, the response
+// says that it has not run.
+Test(quarantine, refuses_bookings_and_streams_too, .timeout = 120)
 {
-  world w{ "ways", 2 };
+  cluster c{ "ways", 2 };
   for (const auto* target : { "/book/", "/stream/" }) {
-    end_three(w, target);
-    w.run_for(contact_ms);
-    expect_kept_out(w, target);
+    crash_three(c, target);
+    c.run_for(propagation_ms);
+    expect_quarantined(c, target);
   }
 }
 
-// One caller's request ends servers; what another caller sends under a key of
-// its own may run well, with the same path and body.
-Test(quarantine, keeps_out_one_callers_request_not_anothers, .timeout = 120)
+// One caller's request crashes servers. The same path and body sent by another
+// caller with a different key may be healthy and is not refused.
+Test(quarantine, refuses_one_callers_request_not_anothers, .timeout = 120)
 {
-  world w{ "keyed", 2 };
-  end_three(w, "/look/", "key-1");
-  w.run_for(contact_ms);
-  const auto before = w.count_poison_runs();
-  for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, poison_body, "/look/", "key-1")));
+  cluster c{ "keyed", 2 };
+  crash_three(c, "/look/", "key-1");
+  c.run_for(propagation_ms);
+  const auto before = c.count_poison_runs();
+  for (std::size_t at = 0; at < c.entries.size(); ++at) {
+    cr_expect(is_quarantined(c.call(at, poison_body, "/look/", "key-1")));
   }
-  cr_expect_eq(w.count_poison_runs(), before);
-  cr_expect_not(is_kept_out(w.call(0, poison_body, "/look/", "key-2")));
-  cr_expect_gt(w.count_poison_runs(), before);
+  cr_expect_eq(c.count_poison_runs(), before);
+  cr_expect_not(is_quarantined(c.call(0, poison_body, "/look/", "key-2")));
+  cr_expect_gt(c.count_poison_runs(), before);
 }
 
-// A request is kept out. All entries are killed, and one that never saw it is
-// added. What they know of it would go with them: each start would cost three
-// servers. It stands in the store, and an entry is not ready before it has read
-// it.
-Test(quarantine, entries_that_start_anew_know_it, .timeout = 120)
+// A request is quarantined and all entries are killed and restarted. If the
+// evidence were only in their memory, each restart would cost three servers. It
+// is in the store, and an entry is not ready before it has read it.
+Test(quarantine, survives_a_restart_of_all_entries, .timeout = 120)
 {
-  world w{ "anew", 3 };
-  end_three(w);
-  w.run_for(contact_ms);
-  const auto before = w.count_poison_runs();
-  for (auto& e : w.entries) {
-    world::kill_entry(e);
+  cluster c{ "anew", 3 };
+  crash_three(c);
+  c.run_for(propagation_ms);
+  const auto before = c.count_poison_runs();
+  for (auto& e : c.entries) {
+    cluster::kill_entry(e);
   }
-  for (auto& e : w.entries) {
-    w.start(e);
+  for (auto& e : c.entries) {
+    c.start(e);
   }
-  w.wait_until_ready();
-  for (std::size_t at = 0; at < w.entries.size(); ++at) {
-    cr_expect(is_kept_out(w.call(at, poison_body)));
-    cr_expect_eq(w.call(at, "other").value.status, 200);
+  c.wait_until_ready();
+  for (std::size_t at = 0; at < c.entries.size(); ++at) {
+    cr_expect(is_quarantined(c.call(at, poison_body)));
+    cr_expect_eq(c.call(at, "other").value.status, 200);
   }
-  cr_expect_eq(w.count_poison_runs(), before);
+  cr_expect_eq(c.count_poison_runs(), before);
 }
 
-// The store is away while servers end under a request. The entry that sees it
-// keeps it out alone; the others hear of it when the store is back.
+// The store is down while a request crashes servers. The entry that detects
+// this quarantines the request alone; the others receive the reports when the
+// store is back.
 Test(quarantine, reports_wait_for_the_store, .timeout = 120)
 {
-  world w{ "away", 2 };
-  cr_assert_eq(w.call(0, "other").value.status, 200);
-  bool is_away = true;
-  w.store.faults = [&](const store::call& c) {
-    const bool is_report = c.op == store::operation::create;
-    return is_away && is_report ? object_store::fault::refuse
-                                : object_store::fault::none;
+  cluster c{ "away", 2 };
+  cr_assert_eq(c.call(0, "other").value.status, 200);
+  bool is_store_down = true;
+  c.store.faults = [&](const store::call& call) {
+    const bool is_report_write = call.op == store::operation::create;
+    return is_store_down && is_report_write ? object_store::fault::refuse
+                                            : object_store::fault::none;
   };
-  while (w.service.ends() < ends_before) {
-    w.wait_for_servers();
-    w.call(0, poison_body);
+  while (c.service.ends() < crashes_to_quarantine) {
+    c.wait_for_servers();
+    c.call(0, poison_body);
   }
-  w.wait_for_servers();
-  cr_expect(is_kept_out(w.call(0, poison_body)));
-  const auto before = w.count_poison_runs();
-  is_away = false;
-  w.run_for(contact_ms);
-  cr_expect(is_kept_out(w.call(1, poison_body)));
-  cr_expect_eq(w.count_poison_runs(), before);
+  c.wait_for_servers();
+  cr_expect(is_quarantined(c.call(0, poison_body)));
+  const auto before = c.count_poison_runs();
+  is_store_down = false;
+  c.run_for(propagation_ms);
+  cr_expect(is_quarantined(c.call(1, poison_body)));
+  cr_expect_eq(c.count_poison_runs(), before);
 }
 
 namespace {
 
-// Callers that ask for the same twenty things all the time, at all entries, and
-// come back once when they are not served.
+// Callers that continuously send the same twenty different requests to all
+// entries.
 struct healthy_callers
 {
-  world& w;
-  std::size_t asked = 0;
-  std::size_t kept_out = 0;
-  std::size_t at_once = 0;
+  cluster& c;
+  std::size_t sent = 0;
+  std::size_t quarantined = 0;
+  std::size_t in_flight = 0;
   bool is_stopped = false;
 
   static constexpr std::size_t kinds = 20;
   static constexpr std::uint64_t gap_ms = 10;
 
-  void go_on()
+  void send_next()
   {
     if (is_stopped) {
       return;
     }
-    ++asked;
-    ++at_once;
-    const auto id = "h" + std::to_string(asked);
-    const auto body = "lookup-" + std::to_string(asked % kinds);
+    ++sent;
+    ++in_flight;
+    const auto id = "h" + std::to_string(sent);
+    const auto body = "lookup-" + std::to_string(sent % kinds);
     http::exchange_options o;
     o.timeout_ms = 5000;
-    w.http.fetch(w.entries[asked % w.entries.size()].callers,
-                 { "POST",
-                   "/look/",
-                   { { "Host", "h" }, { "Id", id }, { "Wait", "2000" } },
-                   body },
-                 o,
-                 [this](http::end_state end, http::response&& a) {
-                   --at_once;
-                   kept_out += is_kept_out({ end, std::move(a) }) ? 1 : 0;
-                 });
+    c.http.fetch(
+      c.entries[sent % c.entries.size()].callers,
+      { "POST",
+        "/look/",
+        { { "Host", "h" }, { "Id", id }, { "Wait", "2000" } },
+        body },
+      o,
+      [this](http::end_state end, http::response&& response) {
+        --in_flight;
+        quarantined += is_quarantined({ end, std::move(response) }) ? 1 : 0;
+      });
     auto t = std::make_shared<asio::steady_timer>(
-      w.io, std::chrono::milliseconds{ gap_ms });
+      c.io, std::chrono::milliseconds{ gap_ms });
     t->async_wait([this, t](asio::error_code ec) {
       if (!ec) {
-        go_on();
+        send_next();
       }
     });
   }
@@ -205,82 +211,80 @@
   void stop()
   {
     is_stopped = true;
-    w.run_until([this] { return at_once == 0; });
-    w.run_for(2 * gap_ms);
+    c.run_until([this] { return in_flight == 0; });
+    c.run_for(2 * gap_ms);
   }
 
-  // All kinds are served now.
+  // Expects that each of the different requests is served.
   void expect_served()
   {
-    w.wait_for_servers();
+    c.wait_for_servers();
     for (std::size_t k = 0; k < kinds; ++k) {
       const auto body = "lookup-" + std::to_string(k);
-      cr_expect_eq(w.call(k % w.entries.size(), body).value.status, 200);
+      cr_expect_eq(c.call(k % c.entries.size(), body).value.status, 200);
     }
   }
 };
 
 } // namespace
 
-// A hundred healthy calls a second run beside a request that ends servers, and
-// die with it, some of them twice. It is kept out; none of them ever is.
-Test(quarantine, callers_beside_it_are_served, .timeout = 120)
+// A hundred healthy calls a second run next to a poison request and fail with
+// it, some of them twice. Only the poison request may be quarantined.
+Test(quarantine, healthy_callers_are_served, .timeout = 120)
 {
-  world w{ "beside", 3 };
-  healthy_callers healthy{ w };
-  healthy.go_on();
-  end_three(w);
-  w.run_for(contact_ms);
-  expect_kept_out(w, "/look/");
+  cluster c{ "beside", 3 };
+  healthy_callers healthy{ c };
+  healthy.send_next();
+  crash_three(c);
+  c.run_for(propagation_ms);
+  expect_quarantined(c, "/look/");
   healthy.stop();
   healthy.expect_served();
-  cr_expect_gt(healthy.asked, 100);
-  cr_expect_eq(healthy.kept_out, 0);
+  cr_expect_gt(healthy.sent, 100);
+  cr_expect_eq(healthy.quarantined, 0);
 }
 
-// Servers end for causes of their own, one or all of them at a time, and others
-// have all their connections reset. The same calls come all the time and die
-// again and again. None of them is kept out.
-Test(quarantine,
-     callers_of_servers_that_end_by_themselves_are_served,
-     .timeout = 120)
+// Servers crash for unrelated causes, one or all at a time, and connections to
+// the other servers are reset. The same calls arrive continuously and fail
+// again and again. None of them may be quarantined.
+Test(quarantine, unrelated_crashes_quarantine_nothing, .timeout = 120)
 {
-  world w{ "others", 3 };
-  healthy_callers healthy{ w };
-  healthy.go_on();
+  cluster c{ "others", 3 };
+  healthy_callers healthy{ c };
+  healthy.send_next();
   constexpr std::size_t rounds = 6;
   constexpr std::size_t servers = 4;
   for (std::size_t round = 0; round < rounds; ++round) {
     for (std::size_t s = 0; s < servers; ++s) {
-      w.service.reset_server(s);
+      c.service.reset_server(s);
     }
-    w.run_for(100);
+    c.run_for(100);
     if (round % 2 == 0) {
-      w.service.end_server(round % servers);
+      c.service.end_server(round % servers);
     } else {
       for (std::size_t s = 0; s < servers; ++s) {
-        w.service.end_server(s);
+        c.service.end_server(s);
       }
     }
-    // Sooner than the entries hear of the new lives.
-    w.run_until([&w] { return w.service.all_up(); });
-    w.run_for(100);
+    // Continue before the entries learn of the new incarnations.
+    c.run_until([&c] { return c.service.all_up(); });
+    c.run_for(100);
   }
   healthy.stop();
   healthy.expect_served();
-  cr_expect_gt(healthy.asked, 100);
-  cr_expect_eq(healthy.kept_out, 0);
+  cr_expect_gt(healthy.sent, 100);
+  cr_expect_eq(healthy.quarantined, 0);
 }
 
-// Anybody may write to the store. Reports that can't be read count for nothing
-// and hide no others.
-Test(quarantine, reports_of_other_writers_do_no_harm, .timeout = 120)
+// Any client may write to the store. Malformed reports are ignored and do not
+// hide valid ones.
+Test(quarantine, malformed_reports_are_ignored, .timeout = 120)
 {
-  world w{ "broken", 1 };
-  w.store.put("ended-backends", "a", "text");
-  w.store.put("ended-backends", "b", { { "by", 3 } });
-  w.store.put("ended-backends", "c", json::array());
-  end_three(w);
-  cr_expect(is_kept_out(w.call(0, poison_body)));
-  cr_expect_eq(w.call(0, "other").value.status, 200);
+  cluster c{ "broken", 1 };
+  c.store.put("ended-backends", "a", "text");
+  c.store.put("ended-backends", "b", { { "by", 3 } });
+  c.store.put("ended-backends", "c", json::array());
+  crash_three(c);
+  cr_expect(is_quarantined(c.call(0, poison_body)));
+  cr_expect_eq(c.call(0, "other").value.status, 200);
 }
