--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -599,7 +599,7 @@
     const auto wall = timeline::wall_ms();
     const auto until = f->kept_out.until_ms;
     o.retry_after_ms = until > wall ? until - wall : trial_look_ms;
-    o.crashes = f->kept_out.ends;
+    o.crashes = f->kept_out.crashes;
   }
   o.answer = std::move(r);
   o.failed_runs = f->failed_runs;
