--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -415,7 +415,7 @@
       .with("address", b.info.address)
       .with("attempt", f->attempts.size())
       .with("in_flight", b.in_flight)
-      .with("others", b.others)
+      .with("others", b.other_load)
       .with("left_ms", f->ask.give_up_ms > now ? f->ask.give_up_ms - now : 0));
   ++b.in_flight;
   ++running_[f->work];
