--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -30,7 +30,8 @@
   return r;
 }
 
-// Takes places until none is left, as an owner at the beginning of a step.
+// Reserves slots until none is left, as an owner does at the start of a step.
+// Returns the number of placed items.
 std::size_t
 place_items(backends::registry& r, std::size_t items, std::uint64_t now)
 {
@@ -62,37 +63,39 @@
 
 } // namespace
 
-// One owner has sixty items running when another begins a step. Without its
-// word the other sends eighty to engines that have places for twenty-four.
-Test(engine_use, owners_leave_each_others_places_alone)
+// One owner has sixty running items when another starts a step. Without the
+// first one's report, the second sends eighty items to engines that have 24
+// free slots.
+Test(engine_use, owners_respect_each_others_slots)
 {
   constexpr std::uint64_t now = 10'000;
   auto first = fourteen_engines();
   cr_assert_eq(place_items(first, 60, now), 60);
   auto second = fourteen_engines();
-  use_of_others told;
-  note(told, { "first", runs_of(first) }, now);
-  backends::set_peer_runs(second, sum(told, now), now);
+  peer_engine_usage usage;
+  record_report(usage, { "first", runs_of(first) }, now);
+  backends::set_peer_runs(second, total_runs(usage, now), now);
   cr_assert_eq(place_items(second, 80, now), engines * slots - 60);
-  SECTION("no engine has more than it can run")
+  SECTION("no engine has more runs than slots")
   {
     for (const auto& [id, b] : second.all) {
       cr_assert_leq(b.in_flight + first.all.at(id).in_flight, slots);
     }
   }
-  SECTION("one that has not been heard of for a while holds nothing")
+  SECTION("an instance without a recent report holds no slots")
   {
     constexpr std::uint64_t later = now + 2000;
     auto third = fourteen_engines();
-    cr_assert(sum(told, later).empty());
-    backends::set_peer_runs(third, sum(told, later), later);
+    cr_assert(total_runs(usage, later).empty());
+    backends::set_peer_runs(third, total_runs(usage, later), later);
     cr_assert_eq(place_items(third, 100, later), engines * slots);
   }
 }
 
-// Callers that nobody tells of run on the same engines: an engine's own word
-// counts them, and those that were told are not counted twice.
-Test(engine_use, an_engines_own_word_counts_beside_it)
+// Some callers do not send usage reports but run on the same engines. An
+// engine's own load report includes their runs, and runs that were reported by
+// other owners are not counted twice.
+Test(engine_use, adds_runs_that_only_the_engine_reports)
 {
   constexpr std::uint64_t now = 10'000;
   auto r = fourteen_engines();
@@ -103,13 +106,14 @@
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
 
-Test(engine_use, messages_are_read_or_left_out)
+Test(engine_use, rejects_malformed_reports)
 {
-  const told_use t{ "a", { { "e1", 3 } } };
-  cr_assert(*told_use_from(encode(t)) == t);
+  const engine_usage_report report{ "a", { { "e1", 3 } } };
+  cr_assert(*decode_engine_usage_report(encode(report)) == report);
   using nlohmann::json;
-  cr_assert_not(told_use_from(json{ { "instance", "a" } }).has_value());
   cr_assert_not(
-    told_use_from(json{ { "instance", "a" }, { "runs", { { "e", -1 } } } })
-      .has_value());
+    decode_engine_usage_report(json{ { "instance", "a" } }).has_value());
+  cr_assert_not(decode_engine_usage_report(
+                  json{ { "instance", "a" }, { "runs", { { "e", -1 } } } })
+                  .has_value());
 }
--- a/cactusford/duties/duty.cc
+++ b/cactusford/duties/duty.cc
@@ -31,10 +31,10 @@
 store::decoded<holder>
 holder_from(const nlohmann::json& spec)
 {
-  return store::read_shape([&] {
-    return holder{ store::text_field(spec, "holder"),
-                   store::text_field(spec, "address"),
-                   store::whole_field(spec, "progress") };
+  return store::try_decode([&] {
+    return holder{ store::string_field(spec, "holder"),
+                   store::string_field(spec, "address"),
+                   store::uint_field(spec, "progress") };
   });
 }
 
@@ -170,10 +170,10 @@
   c.name = settings_.name;
   store_.perform(c, [this, alive = alive_](store::reply&& r) {
     const auto now = http::boot_ms();
-    if (r.what == store::verdict::done && !r.items.empty()) {
+    if (r.result == store::call_result::done && !r.items.empty()) {
       keeper_.busy = false;
       take(r.items.front());
-    } else if (r.what == store::verdict::missing) {
+    } else if (r.result == store::call_result::missing) {
       ownership::on_read(keeper_, {}, now);
     } else {
       ownership::on_unavailable(keeper_, now);
@@ -209,8 +209,8 @@
 {
   const bool was_held = keeper_.held;
   const auto now = http::boot_ms();
-  switch (r.what) {
-    case store::verdict::done: {
+  switch (r.result) {
+    case store::call_result::done: {
       const auto revision =
         r.items.empty() ? std::uint64_t{ 0 } : r.items.front().revision;
       if (revision == 0) {
@@ -221,25 +221,25 @@
       take(r.items.front());
       break;
     }
-    case store::verdict::conflict:
-    case store::verdict::missing:
-    case store::verdict::history_gone:
+    case store::call_result::conflict:
+    case store::call_result::missing:
+    case store::call_result::history_gone:
       ownership::on_conflict(keeper_);
       break;
-    case store::verdict::refused:
-    case store::verdict::unknown:
+    case store::call_result::refused:
+    case store::call_result::unknown:
       ownership::on_unavailable(keeper_, now);
       break;
   }
-  if (a != ownership::action::renew || r.what != store::verdict::done) {
+  if (a != ownership::action::renew || r.result != store::call_result::done) {
     process::log_line(timeline::event{ "duty_written" }
                         .with("duty", settings_.name)
                         .with("action", name_of(a))
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("fence", keeper_.seen.fence)
                         .with("revision", keeper_.seen.version));
   }
-  note_held(was_held, store::name_of(r.what));
+  note_held(was_held, store::name_of(r.result));
 }
 
 void
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -65,11 +65,11 @@
     return members;
   }
   for (const auto& e : j) {
-    auto m = store::read_shape([&] {
-      return member{ store::text_field(e, "instance"),
-                     store::text_field(e, "address"),
-                     store::amount_field(e, "capacity"),
-                     store::whole_field(e, "started_ms") };
+    auto m = store::try_decode([&] {
+      return member{ store::string_field(e, "instance"),
+                     store::string_field(e, "address"),
+                     store::number_field(e, "capacity"),
+                     store::uint_field(e, "started_ms") };
     });
     if (m) {
       members.push_back(std::move(*m));
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -136,10 +136,10 @@
   c.name = trial_name(f, now / settings_.limits.trial_ms);
   c.body = encode(trial);
   store_.perform(c, [this, f, name = c.name, trial, done](store::reply&& r) {
-    const bool is_mine = r.what == store::verdict::done;
+    const bool is_mine = r.result == store::call_result::done;
     process::log_line(timeline::event{ "trial_claimed" }
                         .with("work", f)
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("mine", is_mine ? 1U : 0U));
     if (is_mine) {
       add_report(evidence_, name, trial);
@@ -369,16 +369,16 @@
     // own write. Otherwise the name was used by an earlier process of this
     // instance whose clock was ahead.
     pending->may_exist = pending->may_exist || r.after_unknown ||
-                         r.what == store::verdict::unknown;
+                         r.result == store::call_result::unknown;
     const bool is_written =
-      r.what == store::verdict::done ||
-      (r.what == store::verdict::conflict && pending->may_exist);
-    if (r.what == store::verdict::conflict && !is_written) {
+      r.result == store::call_result::done ||
+      (r.result == store::call_result::conflict && pending->may_exist);
+    if (r.result == store::call_result::conflict && !is_written) {
       rename(*pending);
     }
     process::log_line(timeline::event{ "report_written" }
                         .with("report", pending->name)
-                        .with("verdict", store::name_of(r.what))
+                        .with("verdict", store::name_of(r.result))
                         .with("ended", pending->value.crashes.size())
                         .with("answered", pending->value.answered.size()));
     if (is_written) {
@@ -471,7 +471,7 @@
   store_.perform(c, [name](store::reply&& r) {
     process::log_line(timeline::event{ "report_removed" }
                         .with("report", name)
-                        .with("verdict", store::name_of(r.what)));
+                        .with("verdict", store::name_of(r.result)));
   });
 }
 
--- a/cactusford/store/fields.cc
+++ b/cactusford/store/fields.cc
@@ -11,17 +11,17 @@
 using nlohmann::json;
 
 [[noreturn]] void
-fail(const char* key, const char* wanted, const json& got)
+fail(const char* key, const char* expected, const json& got)
 {
   throw field_error{
-    { key, std::string{ wanted } + " wanted, got " + got.type_name() }
+    { key, std::string{ expected } + " expected, got " + got.type_name() }
   };
 }
 
-// One look at the bytes; a parser that asks at each level costs as much again
-// as the parsing.
+// A single pass over the bytes. A parser callback at each level would double
+// the cost of parsing.
 bool
-is_nested_too_deeply(std::string_view text)
+exceeds_max_nesting(std::string_view text)
 {
   std::size_t depth = 0;
   bool in_text = false;
@@ -38,7 +38,7 @@
     } else if ((c == '}' || c == ']') && depth > 0) {
       --depth;
     }
-    if (depth > deepest_nesting) {
+    if (depth > max_nesting_depth) {
       return true;
     }
   }
@@ -47,7 +47,7 @@
 
 } // namespace
 
-field_error::field_error(shape_fault f)
+field_error::field_error(decode_error f)
   : fault_{ std::move(f) }
 {
 }
@@ -56,7 +56,7 @@
 field(const json& j, const char* key)
 {
   if (!j.is_object()) {
-    fail(key, "an object around it", j);
+    fail(key, "an enclosing object", j);
   }
   const auto found = j.find(key);
   if (found == j.end()) {
@@ -66,30 +66,30 @@
 }
 
 const std::string&
-text_field(const json& j, const char* key)
+string_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_string()) {
-    fail(key, "text", value);
+    fail(key, "a string", value);
   }
   return value.get_ref<const std::string&>();
 }
 
 std::uint64_t
-whole_field(const json& j, const char* key)
+uint_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   const bool is_whole =
     value.is_number_unsigned() ||
     (value.is_number_integer() && value.get<std::int64_t>() >= 0);
   if (!is_whole) {
-    fail(key, "a whole number", value);
+    fail(key, "a non-negative integer", value);
   }
   return value.get<std::uint64_t>();
 }
 
 bool
-flag_field(const json& j, const char* key)
+bool_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_boolean()) {
@@ -99,24 +99,24 @@
 }
 
 double
-amount_field(const json& j, const char* key)
+number_field(const json& j, const char* key)
 {
-  // Whole numbers beyond it can't be told apart.
-  constexpr double largest = 9007199254740992.0;
+  // 2^53: larger integers cannot all be represented exactly as double.
+  constexpr double max_exact_integer = 9007199254740992.0;
   const auto& value = field(j, key);
   const auto amount = value.is_number() ? value.get<double>() : -1;
-  if (!(amount >= 0 && amount <= largest)) {
-    fail(key, "an amount", value);
+  if (!(amount >= 0 && amount <= max_exact_integer)) {
+    fail(key, "a non-negative number", value);
   }
   return amount;
 }
 
 const json&
-list_field(const json& j, const char* key)
+array_field(const json& j, const char* key)
 {
   const auto& value = field(j, key);
   if (!value.is_array()) {
-    fail(key, "a list", value);
+    fail(key, "an array", value);
   }
   return value;
 }
@@ -129,36 +129,36 @@
 }
 
 std::string
-text_field_or(const json& j, const char* key, std::string_view otherwise)
+string_field_or(const json& j, const char* key, std::string_view otherwise)
 {
-  return has_field(j, key) ? text_field(j, key) : std::string{ otherwise };
+  return has_field(j, key) ? string_field(j, key) : std::string{ otherwise };
 }
 
 std::uint64_t
-whole_field_or(const json& j, const char* key, std::uint64_t otherwise)
+uint_field_or(const json& j, const char* key, std::uint64_t otherwise)
 {
-  return has_field(j, key) ? whole_field(j, key) : otherwise;
+  return has_field(j, key) ? uint_field(j, key) : otherwise;
 }
 
 bool
-flag_field_or(const json& j, const char* key, bool otherwise)
+bool_field_or(const json& j, const char* key, bool otherwise)
 {
-  return has_field(j, key) ? flag_field(j, key) : otherwise;
+  return has_field(j, key) ? bool_field(j, key) : otherwise;
 }
 
 double
-amount_field_or(const json& j, const char* key, double otherwise)
+number_field_or(const json& j, const char* key, double otherwise)
 {
-  return has_field(j, key) ? amount_field(j, key) : otherwise;
+  return has_field(j, key) ? number_field(j, key) : otherwise;
 }
 
 std::vector<std::uint64_t>
-wholes_field(const json& j, const char* key)
+uint_array_field(const json& j, const char* key)
 {
   std::vector<std::uint64_t> values;
-  for (const auto& value : list_field(j, key)) {
-    const json one{ { key, value } };
-    values.push_back(whole_field(one, key));
+  for (const auto& value : array_field(j, key)) {
+    const json wrapped{ { key, value } };
+    values.push_back(uint_field(wrapped, key));
   }
   return values;
 }
@@ -166,12 +166,12 @@
 json
 parse_message(std::string_view text)
 {
-  return is_nested_too_deeply(text) ? json(json::value_t::discarded)
-                                    : json::parse(text, nullptr, false);
+  return exceeds_max_nesting(text) ? json(json::value_t::discarded)
+                                   : json::parse(text, nullptr, false);
 }
 
-marked_message
-parse_marked(std::string_view text)
+repaired_message
+parse_leniently(std::string_view text)
 {
   auto j = parse_message(text);
   if (!j.is_discarded()) {
@@ -180,13 +180,13 @@
   const auto marked = mark_unreadable(text);
   j = parse_message(marked);
   if (j.is_discarded()) {
-    j = parse_message(cut_unreadable_elements(marked));
+    j = parse_message(replace_unreadable_elements(marked));
   }
   return { std::move(j), true };
 }
 
 bool
-holds_unreadable(const json& j)
+contains_unreadable(const json& j)
 {
   const auto is_marked = [](const std::string& text) {
     return text.find(unreadable_mark) != std::string::npos;
@@ -196,11 +196,11 @@
   }
   if (j.is_object()) {
     return std::any_of(j.items().begin(), j.items().end(), [&](const auto& e) {
-      return is_marked(e.key()) || holds_unreadable(e.value());
+      return is_marked(e.key()) || contains_unreadable(e.value());
     });
   }
   return j.is_array() && std::any_of(j.begin(), j.end(), [](const json& v) {
-           return holds_unreadable(v);
+           return contains_unreadable(v);
          });
 }
 
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -239,7 +239,7 @@
   c.kind = window_kind;
   store_.perform(c, [this, fence = duty_.fence()](store::reply&& r) {
     busy_ = false;
-    if (r.what != store::verdict::done) {
+    if (r.result != store::call_result::done) {
       retry_later();
       return;
     }
@@ -293,19 +293,19 @@
   process::log_line(timeline::event{ "usage_window_fixed" }
                       .with("window", w.number)
                       .with("workspaces", w.value.size())
-                      .with("verdict", store::name_of(r.what)));
-  if (r.what == store::verdict::done) {
+                      .with("verdict", store::name_of(r.result)));
+  if (r.result == store::call_result::done) {
     fixed_[w.number] = std::move(w.value);
     return;
   }
-  if (r.what == store::verdict::conflict && !r.items.empty()) {
+  if (r.result == store::call_result::conflict && !r.items.empty()) {
     if (auto value = counts_from(r.items.front().spec)) {
       fixed_[w.number] = std::move(*value);
       return;
     }
   }
-  fence_known_ =
-    r.what == store::verdict::conflict ? std::uint64_t{ 0 } : fence_known_;
+  fence_known_ = r.result == store::call_result::conflict ? std::uint64_t{ 0 }
+                                                          : fence_known_;
   retry_later();
 }
 
@@ -388,7 +388,7 @@
     store_.perform(c, [name = c.name](store::reply&& r) {
       process::log_line(timeline::event{ "usage_window_removed" }
                           .with("window", name)
-                          .with("verdict", store::name_of(r.what)));
+                          .with("verdict", store::name_of(r.result)));
     });
   }
 }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -25,11 +25,11 @@
 object_from(const json& j)
 {
   store::object o;
-  o.name = store::text_field(j, "name");
-  o.revision = store::whole_field(j, "revision");
+  o.name = store::string_field(j, "name");
+  o.revision = store::uint_field(j, "revision");
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
-  if (store::holds_unreadable(o.spec)) {
+  if (store::contains_unreadable(o.spec)) {
     throw store::field_error{ { "spec", "bytes that are no UTF-8" } };
   }
   return o;
@@ -39,11 +39,11 @@
 store::decoded<store::object>
 read_object(const json& j, store::reply& r)
 {
-  auto o = store::read_shape([&] { return object_from(j); });
+  auto o = store::try_decode([&] { return object_from(j); });
   const auto name =
-    store::read_shape([&] { return store::text_field(j, "name"); });
+    store::try_decode([&] { return store::string_field(j, "name"); });
   if (!o) {
-    r.broken.push_back({ name.value_or(""), o.fault });
+    r.unreadable_objects.push_back({ name.value_or(""), o.fault });
   }
   r.last_name = name.value_or(r.last_name);
   return o;
@@ -83,7 +83,7 @@
   const auto shown = [&](const store::object& o) {
     return as_text.contains(o.name) ? json(o.name) : to_json(o);
   };
-  json j{ { "what", static_cast<int>(r.what) },
+  json j{ { "what", static_cast<int>(r.result) },
           { "more", r.more },
           { "as_of", r.as_of },
           { "items", json::array() },
@@ -107,15 +107,15 @@
 decode_reply(const store::call&, const http::response& a)
 {
   store::reply r;
-  const auto j = store::parse_marked(a.body).value;
+  const auto j = store::parse_leniently(a.body).value;
   if (a.status == 503) {
-    r.what = store::verdict::refused;
+    r.result = store::call_result::refused;
     return r;
   }
   if (!j.is_object()) {
     return r;
   }
-  r.what = static_cast<store::verdict>(j.at("what").get<int>());
+  r.result = static_cast<store::call_result>(j.at("what").get<int>());
   r.more = j.at("more").get<bool>();
   r.as_of = j.at("as_of").get<std::uint64_t>();
   for (const auto& o : j.at("items")) {
@@ -206,10 +206,10 @@
 store::decoded<routes::table>
 table_from(const store::object& o)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     routes::table t;
-    t.version = store::whole_field(o.spec, "version");
-    for (const auto& r : store::list_field(o.spec, "routes")) {
+    t.version = store::uint_field(o.spec, "version");
+    for (const auto& r : store::array_field(o.spec, "routes")) {
       t.routes.push_back(route_from(r));
     }
     if (o.spec.contains("workspaces")) {
@@ -222,14 +222,14 @@
 store::decoded<backends::announcement>
 announcement_from(const store::object& o)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     backends::announcement a;
     a.id = o.name;
-    a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
-    a.service = store::text_field(o.spec, "service");
-    a.address = store::text_field(o.spec, "address");
-    a.slots = static_cast<std::uint32_t>(store::whole_field(o.spec, "slots"));
-    a.versions["m"] = store::whole_field_or(o.spec, "version", 0);
+    a.started_ms = store::uint_field_or(o.spec, "started_ms", 0);
+    a.service = store::string_field(o.spec, "service");
+    a.address = store::string_field(o.spec, "address");
+    a.slots = static_cast<std::uint32_t>(store::uint_field(o.spec, "slots"));
+    a.versions["m"] = store::uint_field_or(o.spec, "version", 0);
     return a;
   });
 }
@@ -277,7 +277,7 @@
   };
   d.store.decode = decode_reply;
   d.submission_from = [](std::string_view body) {
-    return store::read_shape(
+    return store::try_decode(
       [&] { return submission_from(json::parse(body)); });
   };
   d.encode_page = encode_page;
@@ -370,7 +370,7 @@
   for (auto& w : waiting) {
     const auto r = perform(w.call);
     const bool over = http::now_ms() >= w.until_ms;
-    if (!r.changes.empty() || r.what != store::verdict::done || over) {
+    if (!r.changes.empty() || r.result != store::call_result::done || over) {
       w.caller.respond({ 200, {}, encode_reply(r, texts_for_objects) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
@@ -426,10 +426,10 @@
 store::reply
 object_store::perform(const store::call& c)
 {
+  using store::call_result;
   using store::operation;
-  using store::verdict;
   store::reply r;
-  r.what = verdict::done;
+  r.result = call_result::done;
   r.as_of = revision_;
   auto& kind = objects_[c.kind];
   const auto found = kind.find(c.name);
@@ -446,7 +446,7 @@
       return r;
     case operation::watch:
       if (c.since < history_from_) {
-        r.what = verdict::history_gone;
+        r.result = call_result::history_gone;
         return r;
       }
       for (const auto& change : history_[c.kind]) {
@@ -456,14 +456,14 @@
       }
       return r;
     case operation::get:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
         r.items.push_back(found->second);
       }
       return r;
     case operation::create: {
       if (exists) {
-        r.what = verdict::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -479,11 +479,11 @@
     case operation::replace:
     case operation::replace_status:
       if (!exists) {
-        r.what = verdict::missing;
+        r.result = call_result::missing;
         return r;
       }
       if (c.revision != 0 && c.revision != found->second.revision) {
-        r.what = verdict::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -494,7 +494,7 @@
       note_change(c.kind, found->second, false);
       return r;
     case operation::remove:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
         auto gone = found->second;
         gone.revision = ++revision_;
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -3,7 +3,7 @@
 // process.
 #include "cactusford/testing/section.h"
 #include "standins/frail_service.h"
-#include "tests/batches_world.h"
+#include "tests/batches_cluster.h"
 
 using namespace cactusford;
 using namespace cactusford::testing;
@@ -17,11 +17,11 @@
 // A pool in which crashed engines are replaced.
 struct engine_pool
 {
-  world& w;
+  batch_cluster& w;
   std::vector<std::unique_ptr<stream_engine>> all;
   std::string poison_body;
 
-  engine_pool(world& of, std::size_t engines, std::string poison)
+  engine_pool(batch_cluster& of, std::size_t engines, std::string poison)
     : w{ of }
     , poison_body{ std::move(poison) }
   {
@@ -36,7 +36,7 @@
     all.push_back(std::make_unique<stream_engine>(w.io, id));
     all.back()->fatal_body = poison_body;
     for (const auto& e : w.entries) {
-      e->know(id, "engines", all.back()->address(), 1);
+      e->announce_backend(id, "engines", all.back()->address(), 1);
     }
   }
 
@@ -85,7 +85,7 @@
 // Removes the engine that all entries know from the start, so that only engines
 // of the pool run items.
 void
-withdraw_first_engine(world& w)
+withdraw_first_engine(batch_cluster& w)
 {
   for (const auto& e : w.entries) {
     backends::drop(e->registry, "e1");
@@ -101,7 +101,7 @@
 // the item, and the other items complete.
 Test(quarantine, a_poison_item_waits, .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
@@ -131,7 +131,7 @@
 // of them complete in the end.
 Test(quarantine, items_on_crashing_engines_complete, .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
   e.guard.start();
@@ -153,7 +153,7 @@
     engines.add();
     slow_engines();
   }
-  const auto all = w.read_whole(e, 6);
+  const auto all = w.read_all(e, 6);
   for (const auto& r : all) {
     cr_assert(r.at("done").get<bool>());
   }
@@ -166,7 +166,7 @@
 // other texts are still scored.
 Test(quarantine, a_poison_scorer_call_is_not_repeated, .timeout = 60)
 {
-  world w{ 1 };
+  batch_cluster w{ 1 };
   auto& e = *w.entries[0];
   backends::drop(e.registry, "s1");
   e.guard.start();
