--- a/cactusford/batches/engine_use-test.cc
+++ b/cactusford/batches/engine_use-test.cc
@@ -102,7 +102,7 @@
   backends::set_peer_runs(r, { { "e0", 2 } }, now);
   backends::note_load(*backends::find(r, "e0"), { 3, 0, slots }, now);
   cr_assert_eq(backends::find(r, "e0")->peer_runs, 2);
-  cr_assert_eq(backends::find(r, "e0")->others, 1);
+  cr_assert_eq(backends::find(r, "e0")->other_load, 1);
   cr_assert_eq(place_items(r, 100, now), engines * slots - 3);
 }
 
