--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -1,4 +1,4 @@
-#include "cactusford/batches/keeper_impl.h"
+#include "cactusford/batches/manager_impl.h"
 #include "cactusford/http/socket.h"
 #include "cactusford/process/line_log.h"
 #include "cactusford/timeline/clock.h"
@@ -11,22 +11,24 @@
 
 namespace {
 
-// Owners of open batches are asked this often; a step has seconds to spare,
-// and each question is one small message both ways.
-constexpr std::uint64_t owner_ask_ms = 300;
-constexpr std::uint64_t owner_answer_ms = 600;
+// How often the owners of open batches are probed. A step has seconds to spare,
+// and each probe is one small message in each direction.
+constexpr std::uint64_t owner_probe_interval_ms = 300;
+constexpr std::uint64_t owner_probe_timeout_ms = 600;
 
-// A connection that fails faster was refused: no process listens there.
-constexpr std::uint64_t refusal_limit_ms = 200;
+// A connection attempt that fails faster than this was refused: no process
+// listens at the address.
+constexpr std::uint64_t connection_refused_limit_ms = 200;
 
-// Others take an owner to be gone after 1.3 s of silence. One that notices that
-// it stood still for more than half of that asks the store whether they have.
-constexpr std::uint64_t standstill_ms = 700;
+// Other instances presume an owner dead after 1.3 s of silence. An owner that
+// notices a pause longer than about half of that asks the store whether it has
+// been replaced.
+constexpr std::uint64_t pause_limit_ms = 700;
 
 } // namespace
 
 void
-keeper::impl::own(batch_state& b, bool is_fresh)
+manager::impl::take_ownership(batch_state& b, bool is_fresh)
 {
   if (leaving) {
     return;
@@ -39,77 +41,78 @@
                       .with("revision", b.stored.revision));
   b.loaded = is_fresh && b.has_submission;
   if (b.loaded) {
-    plan_soon();
+    schedule_dispatch();
     return;
   }
   const auto id = b.stored.id;
-  with_submission(b, [self = shared_from_this(), id](bool ok) {
-    auto* read = self->known(id);
+  load_submission(b, [self = shared_from_this(), id](bool ok) {
+    auto* read = self->find_batch(id);
     if (read == nullptr || !read->owned) {
       return;
     }
-    read->load_again = !ok;
+    read->load_pending = !ok;
     if (ok) {
-      self->load_tenure(id);
+      self->load_owned_batch(id);
     }
   });
 }
 
-// Reads what is listed before this instance adds to it.
+// Reads the listed results before this instance adds to them.
 void
-keeper::impl::load_tenure(const std::string& id)
+manager::impl::load_owned_batch(const std::string& id)
 {
   load_chunks(id, [self = shared_from_this(), id](bool ok) {
-    auto* loaded = self->known(id);
+    auto* loaded = self->find_batch(id);
     if (loaded == nullptr || !loaded->owned) {
       return;
     }
-    loaded->load_again = !ok;
+    loaded->load_pending = !ok;
     if (ok) {
-      self->begin_tenure(id);
+      self->activate_owned_batch(id);
     }
   });
 }
 
-// All chunks are read. Once the fence stands nobody else can add one, and
-// results may be shown.
+// Called when all chunks have been read. Creates the fence; once it is stored,
+// no previous owner can add a chunk, and results may be shown.
 void
-keeper::impl::begin_tenure(const std::string& id)
+manager::impl::activate_owned_batch(const std::string& id)
 {
   constexpr int fence_tries = 5;
   fence(id, fence_tries, [self = shared_from_this(), id](bool fenced) {
-    auto* b = self->known(id);
+    auto* b = self->find_batch(id);
     if (b == nullptr || !b->owned) {
       return;
     }
-    b->load_again = !fenced;
+    b->load_pending = !fenced;
     if (!fenced) {
       return;
     }
-    b->drop_listed();
+    b->mark_listed_finished();
     self->load_progress(id, [self, id] {
-      auto* ready = self->known(id);
+      auto* ready = self->find_batch(id);
       if (ready != nullptr && ready->owned) {
         ready->loaded = true;
-        self->reuse_carried(*ready);
-        self->plan_soon();
+        self->reuse_saved_texts(*ready);
+        self->schedule_dispatch();
       }
     });
   });
 }
 
 void
-keeper::impl::disown(batch_state& b, std::string_view why)
+manager::impl::drop_ownership(batch_state& b, std::string_view reason)
 {
   if (!b.owned) {
     return;
   }
-  // A write on its way may stand already, and others may have shown it.
-  b.complete = b.loaded && b.stored.ended && b.stored.owner == p.instance &&
-               is_settled(b.ledger) && !b.doubted;
+  // A write in progress may already be in the store, and other instances may
+  // have shown its results.
+  b.complete = b.loaded && b.stored.ended && b.stored.owner == deps.instance &&
+               is_settled(b.ledger) && !b.owner_unconfirmed;
   b.owned = false;
   b.loaded = false;
-  b.doubted = false;
+  b.owner_unconfirmed = false;
   for (auto& i : b.items) {
     if (i.stage == item_stage::running) {
       stop_run(i);
@@ -119,7 +122,7 @@
     }
     i.stage = item_stage::waiting;
   }
-  b.recount();
+  b.recount_unfinished();
   b.ledger.pending.clear();
   b.ledger.writing = 0;
   b.ledger.ids.clear();
@@ -129,15 +132,15 @@
   answer_readers(b, http::now_ms());
   process::log_line(timeline::event{ "batch_disowned" }
                       .with("batch", b.stored.id)
-                      .with("why", why));
+                      .with("why", reason));
 }
 
 void
-keeper::impl::fence(const std::string& id,
-                    int tries,
-                    std::function<void(bool)> done)
+manager::impl::fence(const std::string& id,
+                     int tries,
+                     std::function<void(bool)> done)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || !b->owned || tries == 0) {
     done(false);
     return;
@@ -149,44 +152,45 @@
   c.kind = chunk_kind;
   c.name = chunk_name(id, chunk);
   c.body = encode_chunk(empty);
-  p.store.perform(c,
-                  [self = shared_from_this(), id, chunk, empty, tries, done](
-                    store::reply&& r) {
-                    auto* now = self->known(id);
-                    if (now == nullptr || !now->owned) {
-                      done(false);
-                      return;
-                    }
-                    if (r.result == store::call_result::done) {
-                      if (now->ledger.chunks == chunk) {
-                        self->on_chunk(id, empty);
-                      }
-                      done(true);
-                      return;
-                    }
-                    if (r.result == store::call_result::refused) {
-                      done(false);
-                      return;
-                    }
-                    // Somebody's chunk stands there, or ours whose answer was
-                    // lost.
-                    self->load_chunks(id, [self, id, tries, done](bool ok) {
-                      if (ok) {
-                        self->fence(id, tries - 1, done);
-                      } else {
-                        done(false);
-                      }
-                    });
-                  });
+  deps.store.perform(c,
+                     [self = shared_from_this(), id, chunk, empty, tries, done](
+                       store::reply&& r) {
+                       auto* current = self->find_batch(id);
+                       if (current == nullptr || !current->owned) {
+                         done(false);
+                         return;
+                       }
+                       if (r.result == store::call_result::done) {
+                         if (current->ledger.chunks == chunk) {
+                           self->on_chunk(id, empty);
+                         }
+                         done(true);
+                         return;
+                       }
+                       if (r.result == store::call_result::refused) {
+                         done(false);
+                         return;
+                       }
+                       // The chunk was created by another owner, or by this one
+                       // in a write whose answer was lost.
+                       self->load_chunks(id, [self, id, tries, done](bool ok) {
+                         if (ok) {
+                           self->fence(id, tries - 1, done);
+                         } else {
+                           done(false);
+                         }
+                       });
+                     });
 }
 
-// Reads the chunks behind those that are known, until there is none. With none
-// known a list brings many at once; later a single one is looked for, as a list
-// would bring the chunks of other batches.
+// Reads the chunks after the known ones until there are none left. If no chunk
+// is known, a list fetches many at once. Later chunks are fetched one by one,
+// because a list would also return the chunks of other batches.
 void
-keeper::impl::load_chunks(const std::string& id, std::function<void(bool)> done)
+manager::impl::load_chunks(const std::string& id,
+                           std::function<void(bool)> done)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr) {
     done(false);
     return;
@@ -201,26 +205,28 @@
     c.op = store::operation::get;
     c.name = chunk_name(id, first);
   }
-  p.store.perform(
+  deps.store.perform(
     c, [self = shared_from_this(), id, first, done](store::reply&& r) {
       const bool absent = r.result == store::call_result::missing;
-      auto* now = self->known(id);
-      if (now == nullptr || (r.result != store::call_result::done && !absent)) {
+      auto* current = self->find_batch(id);
+      if (current == nullptr ||
+          (r.result != store::call_result::done && !absent)) {
         done(false);
         return;
       }
-      // Another reader was faster and may be at it still: what this answer
-      // holds is no longer what comes next.
-      if (now->ledger.chunks != first) {
+      // A concurrent read has already added chunks and may still be in
+      // progress, so this answer no longer starts at the next chunk.
+      if (current->ledger.chunks != first) {
         self->load_chunks(id, done);
         return;
       }
       std::size_t taken = 0;
       for (const auto& o : r.items) {
-        taken += self->take_chunk(id, o) ? 1 : 0;
+        taken += self->adopt_if_next_chunk(id, o) ? 1 : 0;
       }
-      // A list without further pages has shown all of ours: a look behind it
-      // would be one more call for each owner and reader.
+      // A list without further pages contains all chunks of this batch.
+      // Checking for one more would cost an additional call for each owner and
+      // reader.
       const bool listed_all = first == 0 && !absent && !r.more;
       if (taken == 0 || listed_all) {
         done(true);
@@ -230,11 +236,12 @@
     });
 }
 
-// Takes in the chunk that is next; others are passed over.
+// Adds the chunk if it is the next one; skips any other.
 bool
-keeper::impl::take_chunk(const std::string& id, const store::object& o)
+manager::impl::adopt_if_next_chunk(const std::string& id,
+                                   const store::object& o)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr || o.name != chunk_name(id, b->ledger.chunks)) {
     return false;
   }
@@ -247,15 +254,16 @@
   return true;
 }
 
-// Changes the status on the condition that nobody changed it meanwhile; a
-// conflict shows the newer one, and the change is made again on that.
+// Updates the status on the condition that it has not changed meanwhile. After
+// a conflict, which returns the newer status, the change is applied to that one
+// and retried.
 void
-keeper::impl::write_status(const std::string& id,
-                           std::function<void(stored_batch&)> change,
-                           std::function<void(store::call_result)> done,
-                           int tries)
+manager::impl::write_status(const std::string& id,
+                            std::function<void(stored_batch&)> change,
+                            std::function<void(store::call_result)> done,
+                            int tries)
 {
-  auto* b = known(id);
+  auto* b = find_batch(id);
   if (b == nullptr) {
     done(store::call_result::missing);
     return;
@@ -272,10 +280,10 @@
   c.name = id;
   c.revision = b->stored.revision;
   c.body = encode_status(wanted);
-  p.store.perform(
+  deps.store.perform(
     c, [self = shared_from_this(), id, change, done, tries](store::reply&& r) {
       for (const auto& o : r.items) {
-        self->learn(o);
+        self->apply_stored_batch(o);
       }
       const bool again =
         r.result == store::call_result::conflict ||
@@ -288,15 +296,15 @@
         self->write_status(id, change, done, tries - 1);
         return;
       }
-      // Read back what stands there.
+      // Read back the stored status.
       store::call get;
       get.op = store::operation::get;
       get.kind = batch_kind;
       get.name = id;
-      self->p.store.perform(
+      self->deps.store.perform(
         get, [self, id, change, done, tries](store::reply&& back) {
           for (const auto& o : back.items) {
-            self->learn(o);
+            self->apply_stored_batch(o);
           }
           if (back.result == store::call_result::done) {
             self->write_status(id, change, done, tries - 1);
@@ -307,15 +315,15 @@
     });
 }
 
-// Asks the owners of open batches whether they live. Their own silence is
-// what counts: the store may be away for us alone.
+// Probes the owners of open batches. Only their own silence counts, because the
+// store may be unreachable for this instance alone.
 void
-keeper::impl::ask_owners(std::uint64_t now)
+manager::impl::probe_owners(std::uint64_t now)
 {
-  if (now - last_ask < owner_ask_ms) {
+  if (now - last_probe_ms < owner_probe_interval_ms) {
     return;
   }
-  last_ask = now;
+  last_probe_ms = now;
   std::set<std::string> owners;
   for (const auto& [id, b] : batches) {
     if (b->is_open() && !b->owned && !b->stored.owner_address.empty()) {
@@ -323,56 +331,57 @@
     }
   }
   for (const auto& address : owners) {
-    if (owner_asked[address]) {
+    if (owner_probe_pending[address]) {
       continue;
     }
-    owner_asked[address] = true;
+    owner_probe_pending[address] = true;
     http::request r;
     r.method = "GET";
     r.target = peer_alive_path;
     http::exchange_options o;
-    o.timeout_ms = owner_answer_ms;
-    o.connect_timeout_ms = owner_answer_ms;
-    p.http.fetch(address,
-                 r,
-                 o,
-                 [self = shared_from_this(), address, now](http::end_state end,
-                                                           http::response&& a) {
-                   self->owner_asked[address] = false;
-                   const auto then = http::now_ms();
-                   if (end == http::end_state::complete && a.status == 200) {
-                     self->owner_seen[address] = then;
-                   } else if (end == http::end_state::complete) {
-                     self->owner_cut_off[address] = then;
-                   } else if (end == http::end_state::not_sent &&
-                              then - now < refusal_limit_ms) {
-                     self->owner_refused[address] = then;
-                   }
-                 });
+    o.timeout_ms = owner_probe_timeout_ms;
+    o.connect_timeout_ms = owner_probe_timeout_ms;
+    deps.http.fetch(address,
+                    r,
+                    o,
+                    [self = shared_from_this(), address, now](
+                      http::end_state end, http::response&& a) {
+                      self->owner_probe_pending[address] = false;
+                      const auto then = http::now_ms();
+                      if (end == http::end_state::complete && a.status == 200) {
+                        self->owner_seen_at_ms[address] = then;
+                      } else if (end == http::end_state::complete) {
+                        self->owner_cut_off_at_ms[address] = then;
+                      } else if (end == http::end_state::not_sent &&
+                                 then - now < connection_refused_limit_ms) {
+                        self->owner_refused_at_ms[address] = then;
+                      }
+                    });
   }
 }
 
-// Says to another instance what its watch may not have shown it yet, as after
-// a restart of everything on a small instance. Without it an owner would run
-// items of a batch that has ended, or show results as if it still owned one.
-// What it doesn't hear now its watch will show.
+// Notifies another instance of a change that its watch may not have shown yet,
+// such as after a restart of all processes on a small instance. Without the
+// notification an owner would keep running items of a batch that has ended, or
+// show results of a batch that it no longer owns. If the message is lost, the
+// watch eventually delivers the change.
 void
-keeper::impl::tell(const std::string& address,
-                   std::string_view path,
-                   const std::string& id)
+manager::impl::notify_peer(const std::string& address,
+                           std::string_view path,
+                           const std::string& id)
 {
-  if (address.empty() || address == p.address) {
+  if (address.empty() || address == deps.address) {
     return;
   }
   http::request r;
   r.method = "POST";
   r.target = std::string{ path } + id;
   http::exchange_options o;
-  o.timeout_ms = owner_answer_ms;
-  p.http.fetch(
+  o.timeout_ms = owner_probe_timeout_ms;
+  deps.http.fetch(
     address, r, o, [id, address](http::end_state end, http::response&&) {
       if (end != http::end_state::complete) {
-        process::log_line(timeline::event{ "owner_not_told" }
+        process::log_line(timeline::event{ "owner_not_notified" }
                             .with("batch", id)
                             .with("address", address)
                             .with("end", http::name_of(end)));
@@ -380,72 +389,77 @@
     });
 }
 
-// Another instance may have taken the batch over, and may have listed results
-// that this one does not know. Until the store has said who owns it, readers
-// whom it could only tell that there is nothing more are sent away.
+// Called when another instance may have taken the batch over and listed results
+// that this one does not know. Until the store has confirmed the owner, readers
+// for whom this instance has no further results are asked to retry, instead of
+// being told that there are none.
 void
-keeper::impl::doubt(batch_state& b, std::string_view why)
+manager::impl::mark_unconfirmed(batch_state& b, std::string_view reason)
 {
-  if (!b.owned || b.doubted) {
+  if (!b.owned || b.owner_unconfirmed) {
     return;
   }
-  b.doubted = true;
-  process::log_line(timeline::event{ "batch_doubted" }
+  b.owner_unconfirmed = true;
+  process::log_line(timeline::event{ "batch_owner_unconfirmed" }
                       .with("batch", b.stored.id)
-                      .with("why", why)
+                      .with("why", reason)
                       .with("revision", b.stored.revision));
-  verify(b);
+  confirm_owner(b);
 }
 
-// Asks the store who owns a batch of ours.
+// Reads the current owner of a batch from the store.
 void
-keeper::impl::verify(batch_state& b)
+manager::impl::confirm_owner(batch_state& b)
 {
-  if (b.verifying) {
+  if (b.confirming_owner) {
     return;
   }
-  b.verifying = true;
+  b.confirming_owner = true;
   const auto id = b.stored.id;
   store::call c;
   c.op = store::operation::get;
   c.kind = batch_kind;
   c.name = id;
-  p.store.perform(c, [self = shared_from_this(), id](store::reply&& r) {
-    auto* now = self->known(id);
-    if (now == nullptr) {
+  deps.store.perform(c, [self = shared_from_this(), id](store::reply&& r) {
+    auto* current = self->find_batch(id);
+    if (current == nullptr) {
       return;
     }
-    now->verifying = false;
-    // Nothing is known yet: the next look asks again.
+    current->confirming_owner = false;
+    // Without an answer the owner stays unconfirmed, and the next check asks
+    // again.
     if (r.result == store::call_result::done && !r.items.empty()) {
-      now->doubted = false;
-      self->learn(r.items.front());
+      current->owner_unconfirmed = false;
+      self->apply_stored_batch(r.items.front());
     }
   });
 }
 
-// Doubts all batches after this process stood still for long enough to be taken
-// for gone. The steady clock does not count the time in which an instance is
-// suspended; the time of day does, and a step of that costs one question.
+// Marks all batches as unconfirmed if this process was paused for long enough
+// to be presumed dead. The steady clock does not count the time during which an
+// instance is suspended, but the wall clock does. A step of the wall clock
+// costs only one additional read.
 void
-keeper::impl::note_alive(std::uint64_t now)
+manager::impl::check_for_pause(std::uint64_t now)
 {
   const auto wall = timeline::wall_ms();
-  const auto before = std::exchange(alive_ms, now);
-  const auto wall_before = std::exchange(alive_wall_ms, wall);
+  const auto before = std::exchange(last_clock_ms, now);
+  const auto wall_before = std::exchange(last_wall_clock_ms, wall);
   const bool first = before == 0;
-  const auto stood = std::max(now - before, wall - std::min(wall, wall_before));
-  if (first || stood < standstill_ms) {
+  const auto paused_ms =
+    std::max(now - before, wall - std::min(wall, wall_before));
+  if (first || paused_ms < pause_limit_ms) {
     return;
   }
-  process::log_line(timeline::event{ "stood_still" }.with("for_ms", stood));
+  process::log_line(
+    timeline::event{ "pause_detected" }.with("for_ms", paused_ms));
   for (auto& entry : batches) {
-    doubt(*entry.second, "stood_still");
+    mark_unconfirmed(*entry.second, "pause_detected");
   }
 }
 
 void
-keeper::impl::take_over(batch_state& b, std::string_view why)
+manager::impl::take_over(batch_state& b, std::string_view reason)
 {
   if (b.taking_over || leaving) {
     return;
@@ -457,26 +471,26 @@
   process::log_line(timeline::event{ "batch_takeover" }
                       .with("batch", id)
                       .with("from", from)
-                      .with("why", why)
+                      .with("why", reason)
                       .with("revision", b.stored.revision));
   write_status(
     id,
     [self = shared_from_this(), from](stored_batch& s) {
       if (s.owner == from && !s.ended) {
-        s.owner = self->p.instance;
-        s.owner_address = self->p.address;
-        s.owner_capacity = self->p.capacity;
+        s.owner = self->deps.instance;
+        s.owner_address = self->deps.address;
+        s.owner_capacity = self->deps.capacity;
       }
     },
     [self = shared_from_this(), id, address](store::call_result) {
-      auto* now = self->known(id);
-      if (now == nullptr) {
+      auto* current = self->find_batch(id);
+      if (current == nullptr) {
         return;
       }
-      now->taking_over = false;
-      now->owner_since_ms = http::now_ms();
-      if (now->owned) {
-        self->tell(address, peer_taken_path, id);
+      current->taking_over = false;
+      current->owner_since_ms = http::now_ms();
+      if (current->owned) {
+        self->notify_peer(address, peer_taken_path, id);
       }
     },
     2);
