--- a/tests/watcher-test.cc
+++ b/tests/watcher-test.cc
@@ -1,5 +1,5 @@
-// A watcher and a store whose answers come when the test says so. The clock is
-// moved by hand.
+// A watcher and a store that answers when the test says so. The clock is
+// advanced by the test.
 #include "cactusford/http/clock.h"
 #include "cactusford/store/watcher.h"
 #include "cactusford/testing/section.h"
@@ -31,14 +31,14 @@
            { "status", json::object() } };
 }
 
-struct scripted
+struct fixture
 {
   http::manual_clock clock;
   asio::io_context io;
   // Calls without an answer, oldest first.
-  std::vector<http::call> asked;
+  std::vector<http::call> pending_calls;
   http::server server{ io, {}, [this](const http::call& c) {
-                        asked.push_back(c);
+                        pending_calls.push_back(c);
                       } };
   http::client http{ io };
   edge::dialect dialect = standins::plain_dialect();
@@ -46,7 +46,7 @@
   std::unique_ptr<store::watcher> watcher;
   std::set<std::string> shown;
 
-  scripted()
+  fixture()
   {
     cr_assert_not(server.listen("127.0.0.1:0"));
     store::client_settings s;
@@ -71,12 +71,12 @@
 
   void run(std::uint64_t ms)
   {
-    constexpr int quiet_looks = 3;
-    constexpr std::chrono::microseconds look_pause{ 250 };
+    constexpr int idle_polls = 3;
+    constexpr std::chrono::microseconds poll_interval{ 250 };
     for (std::uint64_t t = 0; t < ms; t += step_ms) {
-      for (int quiet = 0; quiet < quiet_looks;) {
-        quiet = io.poll() == 0 ? quiet + 1 : 0;
-        std::this_thread::sleep_for(look_pause);
+      for (int idle = 0; idle < idle_polls;) {
+        idle = io.poll() == 0 ? idle + 1 : 0;
+        std::this_thread::sleep_for(poll_interval);
       }
       clock.advance(std::chrono::milliseconds{ step_ms });
     }
@@ -87,9 +87,10 @@
               const json& items,
               const json& changes)
   {
-    cr_assert_lt(which, asked.size());
-    const auto call = asked[which];
-    asked.erase(asked.begin() + static_cast<std::ptrdiff_t>(which));
+    cr_assert_lt(which, pending_calls.size());
+    const auto call = pending_calls[which];
+    pending_calls.erase(pending_calls.begin() +
+                        static_cast<std::ptrdiff_t>(which));
     const json body{ { "what", static_cast<int>(store::call_result::done) },
                      { "more", false },
                      { "as_of", as_of },
@@ -107,8 +108,8 @@
   void refuse()
   {
     constexpr std::uint64_t longest_pause_ms = 800;
-    asked.front().respond({ 503, {}, "" });
-    asked.erase(asked.begin());
+    pending_calls.front().respond({ 503, {}, "" });
+    pending_calls.erase(pending_calls.begin());
     run(longest_pause_ms);
   }
 };
@@ -116,42 +117,42 @@
 } // namespace
 
 // Guards against a backend server that is used again after it has left: a list
-// that was made for another instance some time ago replaced what changes since
-// then had shown.
+// made for another instance some time ago replaced the changes that had been
+// received since.
 Test(watcher, takes_no_list_that_is_older_than_what_it_has_shown)
 {
-  scripted w;
-  w.answer_list(10, json::array({ object("a", 5) }));
+  fixture f;
+  f.answer_list(10, json::array({ object("a", 5) }));
   const json change{ { "object", object("b", 12) }, { "deleted", false } };
-  w.answer(0, 12, json::array(), json::array({ change }));
-  w.refuse();
-  const std::set<std::string> both{ "a", "b" };
-  cr_assert(w.shown == both);
+  f.answer(0, 12, json::array(), json::array({ change }));
+  f.refuse();
+  const std::set<std::string> expected{ "a", "b" };
+  cr_assert(f.shown == expected);
   SECTION("the older list")
   {
-    w.answer_list(11, json::array({ object("a", 5) }));
-    cr_assert(w.shown == both);
+    f.answer_list(11, json::array({ object("a", 5) }));
+    cr_assert(f.shown == expected);
   }
   SECTION("is asked for again")
   {
-    w.run(wait_ms);
-    w.answer_list(13, json::array({ object("b", 12) }));
-    cr_assert(w.shown == std::set<std::string>{ "b" });
+    f.run(wait_ms);
+    f.answer_list(13, json::array({ object("b", 12) }));
+    cr_assert(f.shown == std::set<std::string>{ "b" });
   }
 }
 
-// Guards against backend servers that are never learned of: while the store is
-// slow, each call that finds another server there asks for the list again, and
-// the answers to the questions before were thrown away.
+// Guards against backend servers that are never discovered: while the store is
+// slow, each call that reaches another server requests the list again, and the
+// answers to the earlier requests were discarded.
 Test(watcher, takes_the_answer_to_an_earlier_question)
 {
-  scripted w;
+  fixture f;
   for (int i = 0; i < 3; ++i) {
-    w.watcher->refresh();
-    w.run(step_ms);
+    f.watcher->refresh();
+    f.run(step_ms);
   }
-  cr_assert_not(w.watcher->is_current());
-  w.answer_list(10, json::array({ object("a", 5) }));
-  cr_assert(w.watcher->is_current());
-  cr_assert(w.shown == std::set<std::string>{ "a" });
+  cr_assert_not(f.watcher->is_current());
+  f.answer_list(10, json::array({ object("a", 5) }));
+  cr_assert(f.watcher->is_current());
+  cr_assert(f.shown == std::set<std::string>{ "a" });
 }
