--- a/cactusford/backends/registry.cc
+++ b/cactusford/backends/registry.cc
@@ -217,10 +217,10 @@
 }
 
 backend*
-find(registry& r, const incarnation& l)
+find(registry& r, const incarnation& i)
 {
-  auto* b = find(r, l.id);
-  return b != nullptr && b->info.started_ms == l.started_ms ? b : nullptr;
+  auto* b = find(r, i.id);
+  return b != nullptr && b->info.started_ms == i.started_ms ? b : nullptr;
 }
 
 void
--- a/cactusford/backends/registry.h
+++ b/cactusford/backends/registry.h
@@ -146,7 +146,7 @@
 // Returns the backend server if it still runs this incarnation, else null:
 // results of requests to an earlier incarnation say nothing about this one.
 backend*
-find(registry& r, const incarnation& l);
+find(registry& r, const incarnation& i);
 
 // Records that a request to the server succeeded or failed.
 void
