--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -385,11 +385,11 @@
   store.piggyback.answer = [this](const nlohmann::json& message) {
     const auto now = http::now_ms();
     if (const auto sidecar = sidecar_from(message)) {
-      membership::note(sidecars, { *sidecar, "", 1 }, now);
+      membership::record(sidecars, { *sidecar, "", 1 }, now);
       return answer_rank(*sidecar);
     }
     for (const auto& m : membership::members_from(message)) {
-      membership::note(entries, m, now);
+      membership::record(entries, m, now);
     }
     auto members = membership::largest(entries, max_entries_in_reply, now);
     members.push_back(own_member());
@@ -398,7 +398,7 @@
   store.piggyback.incoming = [this](const nlohmann::json& reply) {
     for (const auto& m : membership::members_from(reply)) {
       if (m.instance != runtime.settings.instance) {
-        membership::note(entries, m, http::now_ms());
+        membership::record(entries, m, http::now_ms());
       }
     }
   };
--- a/cactusford/entry/lease_manager.cc
+++ b/cactusford/entry/lease_manager.cc
@@ -78,10 +78,11 @@
 }
 
 void
-lease_manager::advance(const std::string& trainer, ownership::keeper& lease)
+lease_manager::advance(const std::string& trainer,
+                       ownership::lease_client& lease)
 {
   const auto view = daemon_.configuration.current();
-  const auto a = ownership::begin(
+  const auto a = ownership::next_action(
     lease, is_listed(*view, lease.seen.holder), process::steady_ms());
   if (a == ownership::action::read) {
     read(trainer);
