--- a/cactusford/usage/counts-test.cc
+++ b/cactusford/usage/counts-test.cc
@@ -1,7 +1,7 @@
 #include "cactusford/usage/counts.h"
 
 #include "cactusford/testing/section.h"
-#include "cactusford/usage/true_time.h"
+#include "cactusford/usage/corrected_clock.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
--- a/cactusford/usage/meter.h
+++ b/cactusford/usage/meter.h
@@ -11,8 +11,8 @@
 #include "cactusford/http/client.h"
 #include "cactusford/http/server.h"
 #include "cactusford/store/watcher.h"
+#include "cactusford/usage/corrected_clock.h"
 #include "cactusford/usage/counts.h"
-#include "cactusford/usage/true_time.h"
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
--- a/cactusford/usage/true_time.cc
+++ b/cactusford/usage/true_time.cc
@@ -1,4 +1,4 @@
-#include "cactusford/usage/true_time.h"
+#include "cactusford/usage/corrected_clock.h"
 
 namespace cactusford::usage {
 
