--- a/cactusford/membership/directory-test.cc
+++ b/cactusford/membership/directory-test.cc
@@ -21,7 +21,7 @@
 
 // 58 entries, 18 of them large. Whoever accepts a step must know some of the
 // large ones without asking the store.
-Test(directory, names_the_largest_that_live)
+Test(directory, returns_the_largest_live_members)
 {
   directory d;
   for (int i = 0; i < 40; ++i) {
@@ -35,23 +35,23 @@
   cr_assert(std::all_of(found.begin(), found.end(), [](const auto& m) {
     return m.capacity == 0.5;
   }));
-  SECTION("of equal ones the youngest first")
+  SECTION("among equal members the most recently started first")
   {
     auto fresh = member_of("large-9", 0.5);
     fresh.started_ms = 7;
     record(d, fresh, now);
     cr_assert_eq(largest(d, 6, now)[0], fresh);
   }
-  SECTION("one that leaves says so and is named no more")
+  SECTION("a member that announces its shutdown is no longer returned")
   {
     record(d, member_of(found[0].instance, 0), now);
     cr_assert(largest(d, 6, now)[0] != found[0]);
   }
-  SECTION("one that falls silent is named no more")
+  SECTION("a member that falls silent is no longer returned")
   {
     cr_assert(largest(d, 6, now + member_timeout_ms + 1).empty());
     record(d, member_of("new", 0.1), now + member_timeout_ms + 1);
-    cr_assert_eq(d.all.size(), 1, "and is forgotten");
+    cr_assert_eq(d.all.size(), 1, "the silent members are removed");
   }
 }
 
@@ -68,7 +68,7 @@
   cr_assert_eq(rank_of(d, "dora"), 3);
 }
 
-Test(directory, travels_beside_the_watches)
+Test(directory, encodes_and_decodes_members)
 {
   const std::vector<member> members{ member_of("a", 0.5),
                                      member_of("b", 0.09) };
@@ -76,6 +76,6 @@
   auto broken = encode(members);
   broken.push_back({ { "instance", 1 } });
   broken.push_back("text");
-  cr_assert(members_from(broken) == members, "what is malformed is left out");
+  cr_assert(members_from(broken) == members, "malformed members are skipped");
   cr_assert(members_from(json::object()).empty());
 }
--- a/cactusford/ownership/lease-test.cc
+++ b/cactusford/ownership/lease-test.cc
@@ -105,7 +105,7 @@
   }
   cr_assert_neq(stopped_ms, 0);
   cr_assert_lt(stopped_ms, took_over_ms);
-  SECTION("one that hands it over stops at once")
+  SECTION("a holder that releases the lease stops at once")
   {
     auto c = candidate("c", 0);
     on_read(c, {}, 0);
--- a/cactusford/ownership/lease.cc
+++ b/cactusford/ownership/lease.cc
@@ -19,13 +19,13 @@
               bool holder_listed,
               std::uint64_t now_ms)
 {
-  const auto unchanged = now_ms - client.seen_ms;
-  const auto delay = client.rank * rank_delay_ms;
+  const auto unchanged_ms = now_ms - client.seen_since_ms;
+  const auto delay_ms = client.rank * rank_delay_ms;
   if (client.seen.holder.empty() || client.seen.holder == client.self ||
       !holder_listed) {
-    return unchanged >= delay;
+    return unchanged_ms >= delay_ms;
   }
-  return unchanged >= client.duration_ms + delay;
+  return unchanged_ms >= client.duration_ms + delay_ms;
 }
 
 } // namespace
@@ -33,7 +33,7 @@
 action
 next_action(lease_client& client, bool holder_listed, std::uint64_t now_ms)
 {
-  client.begun_ms = client.busy ? client.begun_ms : now_ms;
+  client.write_sent_ms = client.busy ? client.write_sent_ms : now_ms;
   const auto interval = client.duration_ms / polls_per_duration;
   if (client.busy) {
     return action::none;
@@ -77,7 +77,7 @@
   client.polled_ms = now_ms;
   if (!client.has_seen || l.version != client.seen.version) {
     client.seen = l;
-    client.seen_ms = now_ms;
+    client.seen_since_ms = now_ms;
     client.has_seen = true;
   }
 }
@@ -90,9 +90,9 @@
 {
   client.busy = false;
   client.seen.version = version;
-  client.seen_ms = now_ms;
+  client.seen_since_ms = now_ms;
   client.renewed_ms = now_ms;
-  client.confirmed_ms = client.begun_ms;
+  client.confirmed_ms = client.write_sent_ms;
   if (a == action::acquire) {
     client.seen.holder = client.self;
     client.seen.fence = version;
--- a/cactusford/ownership/lease.h
+++ b/cactusford/ownership/lease.h
@@ -29,11 +29,11 @@
   lease seen;
   // When `seen.version` was first read, by this process's own clock: clocks of
   // different processes are never compared.
-  std::uint64_t seen_ms = 0;
+  std::uint64_t seen_since_ms = 0;
   std::uint64_t renewed_ms = 0;
   // When the write in flight was sent, and when the last successful write was
   // sent.
-  std::uint64_t begun_ms = 0;
+  std::uint64_t write_sent_ms = 0;
   std::uint64_t confirmed_ms = 0;
   std::uint64_t polled_ms = 0;
   bool has_seen = false;
--- a/cactusford/store/paths-test.cc
+++ b/cactusford/store/paths-test.cc
@@ -8,38 +8,40 @@
 
 // Guards against an instance that cannot list results because the store rejects
 // it for seconds while serving others: calls go through a relay.
-Test(paths, goes_round_a_direct_path_that_is_closed)
+Test(paths, uses_a_relay_if_the_direct_path_is_closed)
 {
   auto t = make_paths(2);
   cr_assert_eq(*select_path(t, {}, 0), direct_path);
   record_outcome(t, direct_path, path_outcome::failed, 0);
   cr_assert_eq(*select_path(t, { direct_path }, 0), 1);
   record_outcome(t, 1, path_outcome::answered, 5);
-  cr_assert_eq(*select_path(t, {}, 10), 1, "the next call starts there");
   cr_assert_eq(
-    *select_path(t, {}, 2100), direct_path, "and direct again later");
+    *select_path(t, {}, 10), 1, "the next call starts with that relay");
+  cr_assert_eq(*select_path(t, {}, 2100),
+               direct_path,
+               "the direct path is used again later");
 }
 
 // The first relay of the list has been removed for good. Guards against each
 // call waiting half a second for it and never returning to the direct path.
-Test(paths, passes_over_a_relay_that_is_gone)
+Test(paths, skips_a_relay_that_is_gone)
 {
   auto t = make_paths(2);
   record_outcome(t, direct_path, path_outcome::failed, 0);
   record_outcome(t, 1, path_outcome::failed, 0);
   cr_assert_eq(*select_path(t, {}, 10), 2);
-  SECTION("with no relay left the direct path is asked often")
+  SECTION("without a working relay the direct path is probed often")
   {
     record_outcome(t, 2, path_outcome::failed, 0);
     record_outcome(t, direct_path, path_outcome::failed, 0);
-    cr_assert_not(select_path(t, {}, 10), "but not at once");
+    cr_assert_not(select_path(t, {}, 10), "not before the interval is over");
     cr_assert_eq(*select_path(t, {}, 300), direct_path);
   }
 }
 
 // Sidecars learn weight versions through relays, which join their watches. The
 // starting relays are spread, and the direct path remains as a fallback.
-Test(paths, begins_with_a_relay_where_that_is_wished)
+Test(paths, starts_with_a_relay_if_configured)
 {
   auto t = make_paths(2, 2);
   cr_assert_eq(*select_path(t, {}, 0), 2);
@@ -51,7 +53,7 @@
 // every instance wants lists, results and submissions from it, ten at a time.
 // Counts the calls that reach it, from a relay and from another instance.
 // Guards against each try being a billed call, often three per request.
-Test(paths, asks_a_store_that_is_away_for_all_a_few_times)
+Test(paths, probes_a_store_that_is_down_only_a_few_times)
 {
   constexpr std::uint64_t outage_ms = 5000;
   const auto asked = [&](bool is_relay) {
@@ -74,7 +76,7 @@
   };
   cr_assert_leq(asked(true), 17);
   cr_assert_leq(asked(false), 3);
-  SECTION("and finds it again when a relay does")
+  SECTION("recovery is detected through a relay")
   {
     auto t = make_paths(2);
     record_outcome(t, direct_path, path_outcome::failed, 0);
@@ -106,21 +108,22 @@
 // reach the store for an outage: that relay was asked again and again, and an
 // owner that had all results of a step could list none of them for twelve
 // seconds.
-Test(paths, goes_round_relays_that_are_cut_off_too)
+Test(paths, skips_relays_that_are_cut_off_too)
 {
   auto t = make_paths(3);
   record_outcome(t, direct_path, path_outcome::failed, 0);
   record_outcome(t, 1, path_outcome::store_unreachable, 1);
   cr_assert_eq(*select_path(t, { direct_path, 1 }, 2), 2);
   record_outcome(t, 2, path_outcome::store_unreachable, 2);
-  cr_assert_not(select_path(t, { direct_path, 1, 2 }, 3), "three tries a call");
-  SECTION("the next call goes on where this one ended")
+  cr_assert_not(select_path(t, { direct_path, 1, 2 }, 3),
+                "at most three tries per call");
+  SECTION("the next call continues with the next relay")
   {
     cr_assert_eq(*select_path(t, {}, 3), 3);
     record_outcome(t, 3, path_outcome::answered, 4);
     cr_assert_eq(*select_path(t, {}, 5), 3);
   }
-  SECTION("and to relays that were learned meanwhile")
+  SECTION("relays added meanwhile are used")
   {
     record_outcome(t, 3, path_outcome::failed, 4);
     add_path(t);
@@ -134,7 +137,7 @@
 // dead too and is avoided for four seconds. If the next list then waits four
 // seconds as well, callers are refused by a stale configuration long after the
 // store is back.
-Test(paths, waits_shortly_on_a_path_that_may_be_dead)
+Test(paths, uses_short_timeouts_on_a_path_that_may_be_dead)
 {
   constexpr answer_limits l;
   constexpr std::size_t relay = 1;
@@ -142,7 +145,7 @@
   auto t = make_paths(2);
   cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
                l.list_ms);
-  SECTION("a list on a path that failed is a short question")
+  SECTION("a list on a path that failed has a short timeout")
   {
     record_outcome(t, direct_path, path_outcome::failed, 0);
     cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
@@ -151,13 +154,13 @@
     cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
                  l.list_ms);
   }
-  SECTION("a relay has spoken before its watch is given up")
+  SECTION("a relay answers before its watch times out")
   {
     const auto at_relay =
       response_timeout_ms(l, t, relay, response_kind::watch, wait_ms);
     cr_assert_eq(at_relay + relay_extra_ms, wait_ms + l.shared_answer_ms);
   }
-  SECTION("a watch is given up below the time in which a change is in force")
+  SECTION("a watch times out before a change must be in force")
   {
     constexpr std::uint64_t in_force_ms = 2000;
     cr_assert_lt(wait_ms + l.shared_answer_ms, in_force_ms);
@@ -176,11 +179,11 @@
   record_outcome(t, 1, path_outcome::store_unreachable, 0);
   cr_assert_eq(*select_path(t, {}, 1), 2);
   cr_assert_eq(*select_path(t, {}, avoided_ms - 1), 2);
-  SECTION("it is asked again after some seconds")
+  SECTION("it is used again after some seconds")
   {
     cr_assert_eq(*select_path(t, {}, avoided_ms), 1);
   }
-  SECTION("or when nothing else is left")
+  SECTION("it is used if all other paths failed")
   {
     record_outcome(t, 2, path_outcome::failed, 0);
     record_outcome(t, direct_path, path_outcome::failed, 0);
@@ -190,26 +193,26 @@
 
 // Guards against a relay that asks the first relay for each watch, no matter
 // how often that has failed.
-Test(paths, close_one_that_failed_to_all_but_one_call)
+Test(paths, allow_one_call_on_a_path_that_failed)
 {
   auto t = make_paths(2, 1);
   cr_assert(claim_if_open(t, 1, 0));
-  cr_assert(claim_if_open(t, 1, 0), "one that answers takes all");
+  cr_assert(claim_if_open(t, 1, 0), "a path that answers accepts all calls");
   record_outcome(t, 1, path_outcome::failed, 0);
   cr_assert_not(claim_if_open(t, 1, 3999));
   cr_assert(claim_if_open(t, 1, 4000));
-  cr_assert_not(claim_if_open(t, 1, 4001), "until that call has ended");
+  cr_assert_not(claim_if_open(t, 1, 4001), "closed until that call has ended");
   record_outcome(t, 1, path_outcome::answered, 4100);
   cr_assert(claim_if_open(t, 1, 4100));
 }
 
 // Guards against a second try that is delayed by the same cause as the first:
 // all relays may be behind the same partition.
-Test(paths, try_the_direct_one_second)
+Test(paths, try_the_direct_path_second)
 {
   auto t = make_paths(3, 2);
   cr_assert_eq(*select_second_path(t, { 2 }, 0), direct_path);
-  SECTION("another relay if it is closed")
+  SECTION("another relay if the direct path is closed")
   {
     record_outcome(t, direct_path, path_outcome::failed, 0);
     cr_assert_eq(*select_second_path(t, { 2 }, 10), 1);
--- a/cactusford/store/paths.cc
+++ b/cactusford/store/paths.cc
@@ -24,15 +24,15 @@
 constexpr std::uint64_t avoid_unreachable_ms = probe_ms;
 
 std::uint64_t
-probe_interval_ms(const path_table& t, std::size_t path, path_outcome end)
+probe_interval_ms(const path_table& t, std::size_t path, path_outcome outcome)
 {
   if (path != direct_path) {
-    return end == path_outcome::store_unreachable ? avoid_unreachable_ms
-                                                  : avoid_relay_ms;
+    return outcome == path_outcome::store_unreachable ? avoid_unreachable_ms
+                                                      : avoid_relay_ms;
   }
   const bool is_any_relay_up =
     std::any_of(t.paths.begin() + 1, t.paths.end(), [](const auto& p) {
-      return p.last != path_outcome::failed;
+      return p.last_outcome != path_outcome::failed;
     });
   return t.is_relay || !is_any_relay_up ? probe_ms : avoid_direct_ms;
 }
@@ -42,8 +42,8 @@
 close_while_probing(path_table& t, std::size_t path, std::uint64_t now_ms)
 {
   auto& p = t.paths[path];
-  if (p.last != path_outcome::answered) {
-    p.closed_until_ms = now_ms + probe_interval_ms(t, path, p.last);
+  if (p.last_outcome != path_outcome::answered) {
+    p.closed_until_ms = now_ms + probe_interval_ms(t, path, p.last_outcome);
   }
 }
 
@@ -121,17 +121,17 @@
 void
 record_outcome(path_table& t,
                std::size_t path,
-               path_outcome end,
+               path_outcome outcome,
                std::uint64_t now_ms)
 {
   auto& p = t.paths[path];
-  p.last = end;
-  if (end == path_outcome::answered) {
+  p.last_outcome = outcome;
+  if (outcome == path_outcome::answered) {
     p.closed_until_ms = 0;
     p.avoided_until_ms = 0;
     return;
   }
-  p.closed_until_ms = now_ms + probe_interval_ms(t, path, end);
+  p.closed_until_ms = now_ms + probe_interval_ms(t, path, outcome);
   p.avoided_until_ms = path == direct_path ? 0 : now_ms + avoid_relay_ms;
 }
 
@@ -148,7 +148,7 @@
                         : l.shared_answer_ms - relay_extra_ms);
   }
   // A call on a path that failed probes whether it is open again.
-  const bool is_probe = t.paths[path].last != path_outcome::answered;
+  const bool is_probe = t.paths[path].last_outcome != path_outcome::answered;
   return kind == response_kind::list && !is_probe ? l.list_ms : l.answer_ms;
 }
 
@@ -156,7 +156,7 @@
 is_direct_closed(const path_table& t, std::uint64_t now_ms)
 {
   const auto& p = t.paths[direct_path];
-  return p.last != path_outcome::answered && p.closed_until_ms > now_ms;
+  return p.last_outcome != path_outcome::answered && p.closed_until_ms > now_ms;
 }
 
 } // namespace cactusford::store
--- a/cactusford/store/paths.h
+++ b/cactusford/store/paths.h
@@ -39,7 +39,7 @@
 
 struct path_state
 {
-  path_outcome last = path_outcome::answered;
+  path_outcome last_outcome = path_outcome::answered;
   // No call uses the path before this time.
   std::uint64_t closed_until_ms = 0;
   // No call uses the path before this time unless all other paths fail.
@@ -99,7 +99,7 @@
 void
 record_outcome(path_table& t,
                std::size_t path,
-               path_outcome end,
+               path_outcome outcome,
                std::uint64_t now_ms);
 
 // What a call requests, as far as it affects how long the answer may take.
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -23,10 +23,10 @@
 constexpr int no_answer = 504;
 
 http::header
-confirmed_after_header(const relay_metadata& notes)
+confirmed_after_header(const relay_metadata& metadata)
 {
-  const auto after = static_cast<std::int64_t>(notes.confirmed_ms) -
-                     static_cast<std::int64_t>(notes.asked_ms);
+  const auto after = static_cast<std::int64_t>(metadata.confirmed_ms) -
+                     static_cast<std::int64_t>(metadata.asked_ms);
   return { std::string{ confirmed_header }, std::to_string(after) };
 }
 
@@ -80,7 +80,7 @@
 http::response
 relayed_response(http::end_state end,
                  const http::response& r,
-                 const relay_metadata& notes)
+                 const relay_metadata& metadata)
 {
   if (end != http::end_state::complete) {
     // 503: the call was not executed. 504: it may have been executed.
@@ -88,9 +88,10 @@
     a.status = end == http::end_state::not_sent ? unavailable : no_answer;
     return a;
   }
-  http::headers fields{ confirmed_after_header(notes) };
-  if (!notes.message.is_null()) {
-    fields.push_back({ std::string{ message_header }, notes.message.dump() });
+  http::headers fields{ confirmed_after_header(metadata) };
+  if (!metadata.message.is_null()) {
+    fields.push_back(
+      { std::string{ message_header }, metadata.message.dump() });
   }
   if (const auto away = http::find(r.fields, store_unreachable_header)) {
     fields.push_back(
--- a/cactusford/store/relay_wire.h
+++ b/cactusford/store/relay_wire.h
@@ -62,7 +62,7 @@
 http::response
 relayed_response(http::end_state end,
                  const http::response& r,
-                 const relay_metadata& notes);
+                 const relay_metadata& metadata);
 
 // The response of a relay that is running but cannot reach the store.
 http::response
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -34,15 +34,15 @@
     caller.respond(store_unreachable_response());
     return;
   }
-  const auto asked = relayed_call_from(caller.request().body);
-  if (!asked) {
+  const auto relayed = relayed_call_from(caller.request().body);
+  if (!relayed) {
     process::log_line(timeline::event{ "relayed_call_unreadable" }
-                        .with("field", asked.fault.field)
-                        .with("why", asked.fault.what));
+                        .with("field", relayed.fault.field)
+                        .with("why", relayed.fault.what));
     caller.respond({ 400, {}, "" });
     return;
   }
-  auto call = *asked;
+  auto call = *relayed;
   auto& request = call.inner.request;
   if (!request.body.empty()) {
     request.fields.push_back({ "Content-Type", "application/json" });
@@ -56,37 +56,39 @@
   o.timeout_ms = call.inner.timeout_ms;
   ++calls_;
   const auto asked_ms = http::boot_ms();
-  const relay_metadata notes{ asked_ms, asked_ms, {} };
+  const relay_metadata metadata{ asked_ms, asked_ms, {} };
   auto sent = std::make_shared<http::pending>();
-  *sent = http_.fetch(settings_.address,
-                      request,
-                      o,
-                      [caller, notes](http::end_state end, http::response&& r) {
-                        caller.respond(relayed_response(end, r, notes));
-                      });
+  *sent =
+    http_.fetch(settings_.address,
+                request,
+                o,
+                [caller, metadata](http::end_state end, http::response&& r) {
+                  caller.respond(relayed_response(end, r, metadata));
+                });
   caller.on_gone([sent] { sent->cancel(); });
 }
 
 // Instances that watch the same kind from the same revision share one call, and
 // relays share theirs through the first relay.
 void
-client::relay_watch(const http::call& caller, const relayed_call& asked)
+client::relay_watch(const http::call& caller, const relayed_call& relayed)
 {
-  const bool answers = !asked.message.is_null() && piggyback.answer;
-  relay_metadata notes;
-  notes.asked_ms = http::boot_ms();
-  notes.message = answers ? piggyback.answer(asked.message) : nlohmann::json{};
-  const auto done = [caller, notes](http::end_state end,
-                                    const http::response& r,
-                                    std::uint64_t confirmed_ms) {
-    auto n = notes;
+  const bool answers = !relayed.message.is_null() && piggyback.answer;
+  relay_metadata metadata;
+  metadata.asked_ms = http::boot_ms();
+  metadata.message =
+    answers ? piggyback.answer(relayed.message) : nlohmann::json{};
+  const auto done = [caller, metadata](http::end_state end,
+                                       const http::response& r,
+                                       std::uint64_t confirmed_ms) {
+    auto n = metadata;
     n.confirmed_ms = confirmed_ms;
     caller.respond(relayed_response(end, r, n));
   };
-  if (should_join_upstream(asked.hops)) {
-    join_upstream(asked.inner, asked.hops, done);
+  if (should_join_upstream(relayed.hops)) {
+    join_upstream(relayed.inner, relayed.hops, done);
   } else {
-    join_watch(asked.inner, shared_watches::origin::relayed, done);
+    join_watch(relayed.inner, shared_watches::origin::relayed, done);
   }
 }
 
--- a/cactusford/store/salvage-test.cc
+++ b/cactusford/store/salvage-test.cc
@@ -37,7 +37,7 @@
 // whole list is dropped with it, at every read, until that entry is removed.
 Test(salvage, one_unreadable_object_hides_no_other)
 {
-  SECTION("a value that no parser takes leaves its object's name")
+  SECTION("the name of an object with an invalid value stays readable")
   {
     const names all{ "first", "b", "last" };
     for (const auto* value : { "1e400",
@@ -57,7 +57,7 @@
       cr_assert(names_read(text) == all, "%s", value);
     }
   }
-  SECTION("an object that is none takes its name with it, and nothing else")
+  SECTION("a malformed object loses its name, and nothing else is lost")
   {
     const names others{ "first", "?", "last" };
     for (const auto* object : { R"({"n":"b",,"v":1})",
@@ -71,7 +71,7 @@
     const std::string closed(10'000, ']');
     cr_assert(names_read(deep + closed) == others);
   }
-  SECTION("names given twice and long texts are no fault")
+  SECTION("duplicate keys and long strings are valid")
   {
     const names all{ "first", "b", "last" };
     cr_assert(names_read(R"({"n":"a","n":"b"})") == all);
@@ -88,7 +88,7 @@
   cr_assert_eq(store::replace_unreadable_elements(good), good);
   const std::string empty = R"({"list":[ ],"count":9})";
   cr_assert_eq(store::replace_unreadable_elements(empty), empty);
-  SECTION("the end of a message that is cut off is no element")
+  SECTION("the incomplete end of a truncated message is not an element")
   {
     const auto [j, was_repaired] =
       store::parse_leniently(R"({"list":[{"n":"a"},{")");
--- a/cactusford/store/shared_watches-test.cc
+++ b/cactusford/store/shared_watches-test.cc
@@ -48,7 +48,7 @@
   for (const auto& a : all) {
     cr_assert_eq(a.answers, 1);
   }
-  SECTION("one that comes a little later gets the same changes")
+  SECTION("a slightly later watch gets the same changes")
   {
     recording_waiter late;
     w.join(
@@ -56,7 +56,7 @@
     cr_assert_eq(late.answers, 1);
     cr_assert_eq(calls, 1);
   }
-  SECTION("much later they may be out of date")
+  SECTION("the changes are not reused much later")
   {
     recording_waiter late;
     w.join(
@@ -68,7 +68,7 @@
 
 // Guards against an endless loop: an answer without changes must not be reused,
 // or whoever watches again would get it at once, again and again.
-Test(shared_watches, wait_anew_behind_an_answer_without_changes)
+Test(shared_watches, wait_again_after_an_answer_without_changes)
 {
   shared_watches w;
   int calls = 0;
@@ -85,7 +85,7 @@
 
 // The call's connection is lost. All waiters must be notified so that they list
 // again, and no later one may get that result.
-Test(shared_watches, tell_all_of_a_call_that_was_cut)
+Test(shared_watches, notify_all_of_a_lost_connection)
 {
   shared_watches w;
   int calls = 0;
@@ -123,7 +123,7 @@
 
 // A relay shuts down. Instances that wait through it are sent elsewhere; its
 // own watch continues until it ends.
-Test(shared_watches, let_others_go_when_the_relay_leaves)
+Test(shared_watches, release_others_when_the_relay_leaves)
 {
   shared_watches w;
   int calls = 0;
@@ -142,7 +142,7 @@
 // Guards against a view that counts as confirmed at the time its answer
 // arrived: the call had been made earlier for another instance, and its answer
 // is reused.
-Test(shared_watches, tell_when_the_answer_was_true)
+Test(shared_watches, report_when_the_answer_was_valid)
 {
   shared_watches w;
   constexpr std::uint64_t confirmed_ms = 7;
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -320,9 +320,9 @@
   if (complete) {
     answer = dialect_.decode(a->call, r);
   }
-  const bool is_answer = answer.result != call_result::refused &&
-                         answer.result != call_result::unknown;
-  if (is_answer) {
+  const bool is_definite = answer.result != call_result::refused &&
+                           answer.result != call_result::unknown;
+  if (is_definite) {
     record_outcome(paths_, path, path_outcome::answered, now);
     record_answer();
     answer.confirmed_ms = confirmed_ms;
@@ -332,12 +332,12 @@
     return;
   }
   log_failure(*a, sent, end, answer.result);
-  const bool away =
+  const bool is_store_unreachable =
     path != direct_path && complete && reports_store_unreachable(r);
   // The store ends waiting watches now and then; the next call shows whether it
   // is reachable. A relay that stopped answering is marked as failed.
   if (a->call.op == operation::watch && answer.result == call_result::unknown) {
-    if (path != direct_path && !away) {
+    if (path != direct_path && !is_store_unreachable) {
       record_outcome(paths_, path, path_outcome::failed, now);
     }
     finish(a, std::move(answer));
@@ -345,7 +345,8 @@
   }
   record_outcome(paths_,
                  path,
-                 away ? path_outcome::store_unreachable : path_outcome::failed,
+                 is_store_unreachable ? path_outcome::store_unreachable
+                                      : path_outcome::failed,
                  now);
   if (a->is_finished) {
     return;
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -255,7 +255,7 @@
   void fail(const std::shared_ptr<attempt>& a);
   void handle_piggyback(const http::response& r) const;
   nlohmann::json next_piggyback() const;
-  void relay_watch(const http::call& caller, const relayed_call& asked);
+  void relay_watch(const http::call& caller, const relayed_call& relayed);
   void join_watch(const joinable_call& inner,
                   shared_watches::origin from,
                   shared_watches::handler done);
--- a/cactusford/usage/corrected_clock.cc
+++ b/cactusford/usage/corrected_clock.cc
@@ -13,7 +13,7 @@
 constexpr std::uint64_t min_step_duration_ms = 60000;
 
 bool
-are_near(std::uint64_t a, std::uint64_t b)
+are_close(std::uint64_t a, std::uint64_t b)
 {
   return (a > b ? a - b : b - a) < max_drift_ms;
 }
@@ -21,13 +21,14 @@
 } // namespace
 
 std::uint64_t
-correct(true_time& t, std::uint64_t wall_ms, std::uint64_t boot_ms)
+corrected_time(corrected_clock& t, std::uint64_t wall_ms, std::uint64_t boot_ms)
 {
   const auto implied_boot_ms = wall_ms - boot_ms;
-  const bool is_same_candidate = are_near(implied_boot_ms, t.candidate_boot_ms);
+  const bool is_same_candidate =
+    are_close(implied_boot_ms, t.candidate_boot_ms);
   const bool is_lasting =
     is_same_candidate && boot_ms - t.candidate_since_ms >= min_step_duration_ms;
-  if (t.trusted_boot_ms == 0 || are_near(implied_boot_ms, t.trusted_boot_ms) ||
+  if (t.trusted_boot_ms == 0 || are_close(implied_boot_ms, t.trusted_boot_ms) ||
       is_lasting) {
     t = { implied_boot_ms, 0, 0 };
   } else if (!is_same_candidate) {
--- a/cactusford/usage/corrected_clock.h
+++ b/cactusford/usage/corrected_clock.h
@@ -10,7 +10,7 @@
 
 namespace cactusford::usage {
 
-struct true_time
+struct corrected_clock
 {
   // The trusted time of day at boot; 0 if not known yet.
   std::uint64_t trusted_boot_ms = 0;
@@ -19,11 +19,14 @@
   std::uint64_t candidate_boot_ms = 0;
   std::uint64_t candidate_since_ms = 0;
 
-  friend bool operator==(const true_time&, const true_time&) = default;
+  friend bool operator==(const corrected_clock&,
+                         const corrected_clock&) = default;
 };
 
 // Takes a reading of both clocks and returns the corrected time of day.
 std::uint64_t
-correct(true_time& t, std::uint64_t wall_ms, std::uint64_t boot_ms);
+corrected_time(corrected_clock& t,
+               std::uint64_t wall_ms,
+               std::uint64_t boot_ms);
 
 } // namespace cactusford::usage
--- a/cactusford/usage/counts-test.cc
+++ b/cactusford/usage/counts-test.cc
@@ -25,7 +25,7 @@
 // Entries send what they have counted so far, again and again. Messages may
 // arrive twice or out of order, an entry may restart with empty counts, and a
 // new holder receives everything again.
-Test(usage, adds_up_what_entries_tell)
+Test(usage, adds_up_the_counts_of_entries)
 {
   received_counts c;
   merge(c, counts_of("a", 1, { { 7, { { "planning", 2 } } } }));
@@ -33,20 +33,20 @@
         counts_of("b", 1, { { 7, { { "planning", 1 }, { "billing", 4 } } } }));
   cr_assert(sum(c, 7) == (counts{ { "planning", 3 }, { "billing", 4 } }));
   cr_assert(sum(c, 8).empty());
-  SECTION("a message that comes twice or late adds nothing")
+  SECTION("a repeated or late message adds nothing")
   {
     auto repeated = c;
     merge(repeated, counts_of("a", 1, { { 7, { { "planning", 5 } } } }));
     merge(repeated, counts_of("a", 1, { { 7, { { "planning", 2 } } } }));
     cr_assert_eq(sum(repeated, 7).at("planning"), 6);
   }
-  SECTION("what an entry counted before it started anew stays")
+  SECTION("counts from before a restart are kept")
   {
     auto restarted = c;
     merge(restarted, counts_of("a", 2, { { 7, { { "planning", 1 } } } }));
     cr_assert_eq(sum(restarted, 7).at("planning"), 4);
   }
-  SECTION("a closed window is forgotten")
+  SECTION("a closed window is dropped")
   {
     drop_through(c, 7);
     cr_assert(c == received_counts{});
@@ -91,7 +91,7 @@
   cr_assert_eq(w.size(), max_windows);
 }
 
-Test(usage, leaves_out_what_is_no_count)
+Test(usage, rejects_invalid_counts)
 {
   using nlohmann::json;
   cr_assert_not(counts_from(json{ { "w", -1 } }).has_value());
@@ -106,17 +106,18 @@
 {
   constexpr std::uint64_t day = 1'700'000'000'000;
   constexpr std::uint64_t step = 2000;
-  true_time t;
+  corrected_clock t;
   for (std::uint64_t boot = 0; boot < 60'000; boot += 200) {
     const bool is_stepped = boot >= 10'000 && boot < 30'000;
-    const auto seen = correct(t, day + boot + (is_stepped ? step : 0), boot);
+    const auto seen =
+      corrected_time(t, day + boot + (is_stepped ? step : 0), boot);
     cr_assert_eq(seen, day + boot);
   }
-  SECTION("one that lasts is believed")
+  SECTION("a lasting step is accepted")
   {
     std::uint64_t seen = 0;
     for (std::uint64_t boot = 60'000; boot < 130'000; boot += 200) {
-      seen = correct(t, day + boot + step, boot) - boot;
+      seen = corrected_time(t, day + boot + step, boot) - boot;
     }
     cr_assert_eq(seen, day + step);
   }
@@ -124,7 +125,8 @@
   {
     std::uint64_t seen = 0;
     for (std::uint64_t boot = 60'000; boot < 160'000; boot += 200) {
-      seen = correct(t, day + boot + (boot - 60'000) / 1000, boot) - boot;
+      seen =
+        corrected_time(t, day + boot + (boot - 60'000) / 1000, boot) - boot;
     }
     cr_assert_geq(seen, day + 99);
   }
--- a/cactusford/usage/counts.cc
+++ b/cactusford/usage/counts.cc
@@ -46,7 +46,8 @@
 {
   return store::try_decode([&] {
     if (!j.is_object() || j.size() > max_workspaces) {
-      throw store::field_error{ { "counts", "not a map of counts by workspace" } };
+      throw store::field_error{ { "counts",
+                                  "not a map of counts by workspace" } };
     }
     counts c;
     for (const auto& [workspace, requests] : j.items()) {
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -92,13 +92,13 @@
 std::uint64_t
 meter::now()
 {
-  return correct(clock_, timeline::wall_ms(), http::boot_ms());
+  return corrected_time(clock_, timeline::wall_ms(), http::boot_ms());
 }
 
 std::uint64_t
-meter::window_at(std::uint64_t true_ms) const
+meter::window_at(std::uint64_t corrected_ms) const
 {
-  return true_ms / settings_.window_ms;
+  return corrected_ms / settings_.window_ms;
 }
 
 void
@@ -215,15 +215,15 @@
     load_fixed_windows();
     return;
   }
-  const auto true_ms = now();
+  const auto corrected_ms = now();
   if (next_window_ == 0) {
-    next_window_ = window_at(true_ms);
+    next_window_ = window_at(corrected_ms);
   }
   const auto end_ms = (next_window_ + 1) * settings_.window_ms;
-  if (true_ms < end_ms + settle_ms) {
+  if (corrected_ms < end_ms + settle_ms) {
     return;
   }
-  if (true_ms > end_ms + give_up_ms) {
+  if (corrected_ms > end_ms + give_up_ms) {
     give_up_window(next_window_);
     return;
   }
--- a/cactusford/usage/meter.h
+++ b/cactusford/usage/meter.h
@@ -91,7 +91,7 @@
   };
 
   std::uint64_t now();
-  std::uint64_t window_at(std::uint64_t true_ms) const;
+  std::uint64_t window_at(std::uint64_t corrected_ms) const;
   void tick();
   void send_counts();
   void drop_reported();
@@ -115,7 +115,7 @@
   duties::duty duty_;
   store::watcher watcher_;
   asio::steady_timer ticker_;
-  true_time clock_;
+  corrected_clock clock_;
   windows own_counts_;
   // Incremented with each change of `own_counts_`, and the version that the
   // holder has accepted.
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -303,7 +303,7 @@
 // is cut off from the store.
 Test(views, learn_in_time_behind_a_relay_that_loses_the_store)
 {
-  SECTION("the first relay, which asks for all")
+  SECTION("the first relay, which makes the watches of all")
   {
     const auto worst =
       worst_lateness([](cluster& nodes) { nodes.cut_from_store(0); });
@@ -397,7 +397,7 @@
     return worst;
   };
   constexpr std::uint64_t slow_ms = 200;
-  SECTION("on its way from the store")
+  SECTION("slow answers of the store")
   {
     const auto ms = overstated([](cluster& nodes) {
       for (auto& i : nodes.all) {
@@ -406,7 +406,7 @@
     });
     cr_assert_eq(ms, 0, "%zu ms", std::size_t{ ms });
   }
-  SECTION("on its way from relays")
+  SECTION("slow answers of relays")
   {
     const auto ms = overstated([](cluster& nodes) {
       for (auto& i : nodes.all) {
--- a/tests/watcher-test.cc
+++ b/tests/watcher-test.cc
@@ -119,7 +119,7 @@
 // Guards against a backend server that is used again after it has left: a list
 // made for another instance some time ago replaced the changes that had been
 // received since.
-Test(watcher, takes_no_list_that_is_older_than_what_it_has_shown)
+Test(watcher, ignores_a_list_older_than_received_changes)
 {
   fixture f;
   f.answer_list(10, json::array({ object("a", 5) }));
@@ -128,12 +128,12 @@
   f.refuse();
   const std::set<std::string> expected{ "a", "b" };
   cr_assert(f.shown == expected);
-  SECTION("the older list")
+  SECTION("the older list is ignored")
   {
     f.answer_list(11, json::array({ object("a", 5) }));
     cr_assert(f.shown == expected);
   }
-  SECTION("is asked for again")
+  SECTION("the list is requested again")
   {
     f.run(wait_ms);
     f.answer_list(13, json::array({ object("b", 12) }));
@@ -144,7 +144,7 @@
 // Guards against backend servers that are never discovered: while the store is
 // slow, each call that reaches another server requests the list again, and the
 // answers to the earlier requests were discarded.
-Test(watcher, takes_the_answer_to_an_earlier_question)
+Test(watcher, accepts_the_answer_to_an_earlier_request)
 {
   fixture f;
   for (int i = 0; i < 3; ++i) {
