--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -152,7 +152,7 @@
   std::uint64_t last_announced_ms = 0;
   // When a misdirected call last caused a refresh of the backend list.
   std::uint64_t last_misdirected_refresh_ms = 0;
-  quarantine::manager guard;
+  quarantine::manager quarantine_manager;
   forwarder calls;
   usage::meter meter;
   batches::manager batch_manager;
@@ -164,7 +164,7 @@
   http::server peer_server;
   http::server metrics_server;
   bool is_leaving = false;
-  bool has_keeper_left = false;
+  bool has_handed_over_batches = false;
   std::uint64_t leave_started_ms = 0;
 };
 
@@ -178,11 +178,11 @@
            http,
            wire.store,
            { s.store, s.peers, false, true, s.peer_rank } }
-  , guard{ runtime.io,
-           store,
-           registry,
-           { s.instance, s.peer_rank.has_value() } }
-  , calls{ runtime.io, http, registry, wire, s.data_centre, &guard }
+  , quarantine_manager{ runtime.io,
+                        store,
+                        registry,
+                        { s.instance, s.peer_rank.has_value() } }
+  , calls{ runtime.io, http, registry, wire, s.data_centre, &quarantine_manager }
   , meter{ runtime.io,
            http,
            store,
@@ -209,7 +209,7 @@
                        return membership::largest(
                          entries, max_entries_in_reply, http::now_ms());
                      },
-                     &guard } }
+                     &quarantine_manager } }
   , configuration{ runtime.io,
                    store,
                    { wire.kinds.configuration,
@@ -311,7 +311,7 @@
 edge_process::is_ready() const
 {
   return !is_leaving && table != nullptr && backend_list.is_current() &&
-         batch_list.is_current() && guard.is_current();
+         batch_list.is_current() && quarantine_manager.is_current();
 }
 
 void
@@ -330,12 +330,13 @@
 void
 edge_process::export_quarantine_metrics()
 {
-  const auto& c = guard.counts();
+  const auto& c = quarantine_manager.counts();
   metrics.set("run_cuts", static_cast<double>(c.connections_lost));
   metrics.set("backend_ends", static_cast<double>(c.crashes));
   metrics.set("end_reports_written", static_cast<double>(c.reports_written));
   metrics.set("end_reports_dropped", static_cast<double>(c.reports_dropped));
-  metrics.set("end_reports_known", static_cast<double>(guard.reports()));
+  metrics.set("end_reports_known",
+              static_cast<double>(quarantine_manager.reports()));
   metrics.set("quarantine_refusals", static_cast<double>(c.refusals));
 }
 
@@ -422,13 +423,13 @@
     for (auto* w : { &configuration, &backend_list, &batch_list }) {
       w->refresh();
     }
-    guard.refresh();
+    quarantine_manager.refresh();
     meter.refresh();
   };
   configuration.start();
   backend_list.start();
   batch_list.start();
-  guard.start();
+  quarantine_manager.start();
   meter.start();
 }
 
@@ -776,7 +777,7 @@
   leave_started_ms = http::now_ms();
   caller_server.leave();
   store.stop_relaying();
-  batch_manager.leave([this] { has_keeper_left = true; });
+  batch_manager.leave([this] { has_handed_over_batches = true; });
   meter.leave();
   poll_drained();
 }
@@ -788,7 +789,8 @@
   const bool idle = caller_server.busy() == 0 && peer_server.busy() == 0 &&
                     drain_ms >= min_drain_ms;
   const auto limit = runtime.settings.grace_ms - kill_margin_ms;
-  if ((idle && has_keeper_left && meter.has_left()) || drain_ms >= limit) {
+  if ((idle && has_handed_over_batches && meter.has_left()) ||
+      drain_ms >= limit) {
     process::log_line(timeline::event{ "left" }
                         .with("busy", caller_server.busy())
                         .with("stayed_ms", drain_ms));
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -277,8 +277,10 @@
   auto d = standins::plain_dialect();
   http::client http{ io };
   store::client client{ io, http, d.store, { store.address(), {} } };
-  quarantine::manager guard{ io, client, registry, { "entry", false } };
-  forwarder calls{ io, http, registry, d, "a", &guard };
+  quarantine::manager quarantine_manager{
+    io, client, registry, { "entry", false }
+  };
+  forwarder calls{ io, http, registry, d, "a", &quarantine_manager };
   const auto call = [&] {
     forward_request r;
     r.request = { "POST", "/look/", { { "Host", "h" } }, "b" };
@@ -312,8 +314,9 @@
   SECTION("with one crash attributed to the request")
   {
     // Nothing listens on the discard port (9) of the local host.
-    guard.on_connection_lost({ "ended", 1 }, "127.0.0.1:9", fingerprint);
-    while (guard.counts().crashes == 0) {
+    quarantine_manager.on_connection_lost(
+      { "ended", 1 }, "127.0.0.1:9", fingerprint);
+    while (quarantine_manager.counts().crashes == 0) {
       io.run_one();
     }
     call();
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -128,8 +128,8 @@
   // crashes backend servers.
   bool is_trial = false;
   bool is_start_reported = false;
-  // The verdict because of which the call was refused.
-  quarantine::decision refusal_verdict;
+  // The quarantine decision because of which the call was refused.
+  quarantine::decision refusal_decision;
   bool finished = false;
 
   bool is_repeatable() const
@@ -165,13 +165,13 @@
                      backends::registry& registry,
                      const dialect& d,
                      std::string data_centre,
-                     quarantine::manager* guard)
+                     quarantine::manager* quarantine_manager)
   : io_{ io }
   , http_{ http }
   , registry_{ registry }
   , dialect_{ d }
   , data_centre_{ std::move(data_centre) }
-  , guard_{ guard }
+  , quarantine_{ quarantine_manager }
 {
 }
 
@@ -231,9 +231,10 @@
 quarantine::decision
 forwarder::check_quarantine(const call_state& call)
 {
-  return guard_ == nullptr
+  return quarantine_ == nullptr
            ? quarantine::decision{}
-           : guard_->evaluate(call.fingerprint, quarantine::run_kind::call);
+           : quarantine_->evaluate(call.fingerprint,
+                                   quarantine::run_kind::call);
 }
 
 // Refuses a poison request, unless one of its attempts is still open and will
@@ -244,12 +245,12 @@
 forwarder::refuse_quarantined(const std::shared_ptr<call_state>& call,
                               const quarantine::decision& v)
 {
-  call->refusal_verdict = v;
+  call->refusal_decision = v;
   if (call->has_open_attempt()) {
     return;
   }
   const bool may_have_run = call->runs > 0;
-  guard_->note_refused();
+  quarantine_->note_refused();
   finish(
     call, may_have_run ? forward_end::unknown : forward_end::quarantined, {});
 }
@@ -259,14 +260,14 @@
                                 const attempt& a,
                                 const attempt_end& end)
 {
-  if (guard_ == nullptr) {
+  if (quarantine_ == nullptr) {
     return;
   }
   if (end.state == http::end_state::cut) {
-    guard_->on_connection_lost(a.backend, a.address, call.fingerprint);
+    quarantine_->on_connection_lost(a.backend, a.address, call.fingerprint);
   } else if (end.state == http::end_state::complete && end.is_signed &&
              !end.not_run) {
-    guard_->on_answered(call.fingerprint);
+    quarantine_->on_answered(call.fingerprint);
   }
 }
 
@@ -311,7 +312,7 @@
 forwarder::has_unresolved_run(const call_state& call) const
 {
   return running_attempts_.contains(call.fingerprint) ||
-         guard_->is_probing(call.fingerprint);
+         quarantine_->is_probing(call.fingerprint);
 }
 
 // Runs of a suspected request are serialized. Concurrent ones could each crash
@@ -363,7 +364,7 @@
 void
 forwarder::start_trial(const std::shared_ptr<call_state>& call)
 {
-  guard_->claim_trial(call->fingerprint, [this, call](bool is_granted) {
+  quarantine_->claim_trial(call->fingerprint, [this, call](bool is_granted) {
     if (call->finished) {
       return;
     }
@@ -436,7 +437,7 @@
       .with("address", b.info.address)
       .with("attempt", call->attempts.size())
       .with("in_flight", b.in_flight)
-      .with("others", b.others)
+      .with("others", b.other_load)
       .with("left_ms",
             call->input.give_up_ms > now ? call->input.give_up_ms - now : 0));
   ++b.in_flight;
@@ -628,9 +629,9 @@
   o.what = what;
   if (what == forward_end::quarantined) {
     const auto wall = timeline::wall_ms();
-    const auto until = call->refusal_verdict.until_ms;
+    const auto until = call->refusal_decision.until_ms;
     o.retry_after_ms = until > wall ? until - wall : trial_retry_after_ms;
-    o.crashes = call->refusal_verdict.ends;
+    o.crashes = call->refusal_decision.crashes;
   }
   o.answer = std::move(r);
   o.failed_runs = call->failed_runs;
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -111,7 +111,7 @@
             backends::registry& registry,
             const dialect& d,
             std::string data_centre,
-            quarantine::manager* guard = nullptr);
+            quarantine::manager* quarantine_manager = nullptr);
 
   using handler = std::function<void(forward_outcome&&)>;
 
@@ -167,7 +167,7 @@
   const dialect& dialect_;
   std::string data_centre_;
   // If null, no request is quarantined.
-  quarantine::manager* guard_;
+  quarantine::manager* quarantine_;
   // Keyed by the path prefix of the route, as calls of one route take about the
   // same time.
   std::map<std::string, second_attempts> second_attempts_;
--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -109,7 +109,7 @@
 void
 loader::log_reachability(bool is_reachable,
                          http::end_state end,
-                         const store::decode_error& fault)
+                         const store::decode_error& error)
 {
   if (is_reachable == was_reachable_) {
     return;
@@ -119,8 +119,8 @@
     timeline::event{ is_reachable ? "engine_up" : "engine_down" }
       .with("engine", settings_.engine)
       .with("end", http::name_of(end))
-      .with("field", fault.field)
-      .with("why", fault.what));
+      .with("field", error.field)
+      .with("why", error.what));
 }
 
 // Returns false if the report is from an earlier incarnation. An engine may
--- a/cactusford/orders/loader.h
+++ b/cactusford/orders/loader.h
@@ -47,7 +47,7 @@
   void poll_engine();
   void log_reachability(bool is_reachable,
                         http::end_state end,
-                        const store::decode_error& fault);
+                        const store::decode_error& error);
   bool accept_incarnation(const edge::engine_report& r);
   void on_report(const edge::engine_report& r);
   void update_loaded_versions(const edge::engine_report& r);
