--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -84,7 +84,7 @@
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
   const auto v = deps.guard->evaluate(work, quarantine::run_kind::call);
   return quarantine::has_crashes(v) &&
-         v.what != quarantine::request_status::quarantined;
+         v.status != quarantine::request_status::quarantined;
 }
 
 // Returns the total number of slots of the route's servers.
