--- a/cactusford/batches/ledger.cc
+++ b/cactusford/batches/ledger.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Besides its text, a result takes about this much on the wire.
+// Approximate size on the wire of a result without its text.
 constexpr std::size_t result_overhead = 200;
 
 std::size_t
@@ -68,10 +68,11 @@
 adopt_chunk(ledger& l, std::vector<item_result> results)
 {
   l.writing = 0;
-  l.unsettled = false;
+  l.outcome_unknown = false;
   ++l.chunks;
   for (auto& r : results) {
-    std::erase_if(l.pending, [&](const auto& p) { return p.id == r.id; });
+    std::erase_if(l.pending,
+                  [&](const auto& pending) { return pending.id == r.id; });
     if (!is_listed(l, r.id)) {
       l.ids.insert(r.id);
       l.listed.push_back(std::move(r));
@@ -86,16 +87,16 @@
 }
 
 void
-doubt_chunk(ledger& l)
+mark_chunk_unknown(ledger& l)
 {
   l.writing = 0;
-  l.unsettled = true;
+  l.outcome_unknown = true;
 }
 
 bool
 is_settled(const ledger& l)
 {
-  return l.writing == 0 && !l.unsettled;
+  return l.writing == 0 && !l.outcome_unknown;
 }
 
 result_page
@@ -104,19 +105,19 @@
         std::uint64_t after,
         std::size_t max_bytes)
 {
-  result_page p;
-  p.total = total;
-  p.next = after;
+  result_page page;
+  page.total = total;
+  page.next = after;
   std::size_t bytes = 0;
   for (auto at = after; at < l.listed.size(); ++at) {
     bytes += size_of(l.listed[at]);
-    if (!p.results.empty() && bytes > max_bytes) {
+    if (!page.results.empty() && bytes > max_bytes) {
       break;
     }
-    p.results.push_back(l.listed[at]);
-    ++p.next;
+    page.results.push_back(l.listed[at]);
+    ++page.next;
   }
-  return p;
+  return page;
 }
 
 std::string
@@ -147,16 +148,16 @@
 store::decoded<stored_chunk>
 decode_chunk(const nlohmann::json& spec)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     stored_chunk c;
-    c.epoch = store::whole_field(spec, "epoch");
-    for (const auto& j : store::list_field(spec, "list")) {
+    c.epoch = store::uint_field(spec, "epoch");
+    for (const auto& j : store::array_field(spec, "list")) {
       item_result r;
-      r.id = store::text_field(j, "item");
-      r.done = store::flag_field(j, "done");
-      r.text = store::text_field(j, "text");
-      r.versions = store::wholes_field(j, "weights");
-      r.score = store::text_field(j, "score");
+      r.id = store::string_field(j, "item");
+      r.done = store::bool_field(j, "done");
+      r.text = store::string_field(j, "text");
+      r.versions = store::uint_array_field(j, "weights");
+      r.score = store::string_field(j, "score");
       c.results.push_back(std::move(r));
     }
     return c;
@@ -192,25 +193,25 @@
              const nlohmann::json& spec,
              const nlohmann::json& status)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     stored_batch b;
     b.id = name;
     b.revision = revision;
-    b.host = store::text_field(spec, "caller_host");
-    b.target = store::text_field(spec, "target");
-    b.workspace = store::text_field_or(spec, "workspace", "");
-    b.accepted_wall_ms = store::whole_field(spec, "accepted_ms");
-    b.items = store::whole_field(spec, "items");
-    b.parts = store::whole_field(spec, "parts");
-    b.owner = store::text_field(spec, "first_owner");
-    b.owner_address = store::text_field(spec, "first_address");
-    b.owner_capacity = store::amount_field(spec, "first_capacity");
-    b.owner = store::text_field_or(status, "owner", b.owner);
+    b.host = store::string_field(spec, "caller_host");
+    b.target = store::string_field(spec, "target");
+    b.workspace = store::string_field_or(spec, "workspace", "");
+    b.accepted_wall_ms = store::uint_field(spec, "accepted_ms");
+    b.items = store::uint_field(spec, "items");
+    b.parts = store::uint_field(spec, "parts");
+    b.owner = store::string_field(spec, "first_owner");
+    b.owner_address = store::string_field(spec, "first_address");
+    b.owner_capacity = store::number_field(spec, "first_capacity");
+    b.owner = store::string_field_or(status, "owner", b.owner);
     b.owner_address =
-      store::text_field_or(status, "owner_address", b.owner_address);
+      store::string_field_or(status, "owner_address", b.owner_address);
     b.owner_capacity =
-      store::amount_field_or(status, "owner_capacity", b.owner_capacity);
-    b.ended = store::flag_field_or(status, "ended", false);
+      store::number_field_or(status, "owner_capacity", b.owner_capacity);
+    b.ended = store::bool_field_or(status, "ended", false);
     return b;
   });
 }
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -1,4 +1,4 @@
-// What an instance holds of a batch while it runs.
+// The in-memory state of a batch and its items.
 #pragma once
 
 #include "cactusford/backends/registry.h"
@@ -31,20 +31,21 @@
   item_stage stage = item_stage::waiting;
   item_text text;
   std::uint32_t tries = 0;
-  // Answers of 500, of engines and of the scorer.
+  // Number of 500 responses from engines and from the scorer.
   std::uint32_t failed_runs = 0;
   std::uint32_t failed_scores = 0;
   std::uint64_t not_before_ms = 0;
-  // The engine that just failed it.
-  std::string not_on;
-  // What it asks for, whatever its id; set by its first run.
+  // The engine on which the item's last run failed.
+  std::string failed_on;
+  // Fingerprint of the item's request, independent of its id; set by the first
+  // run.
   quarantine::fingerprint work;
 
-  // The present run.
+  // The current run.
   std::uint64_t run = 0;
   backends::incarnation backend;
   std::string address;
-  http::pending sent;
+  http::pending pending;
   event_reader reader{ "" };
   int status = 0;
   bool not_run = false;
@@ -53,9 +54,9 @@
   std::uint64_t last_event_ms = 0;
   std::uint64_t events_in_run = 0;
 
-  // The scorer's call.
+  // The scorer call.
   std::uint32_t score_tries = 0;
-  std::uint64_t score_again_ms = 0;
+  std::uint64_t score_retry_at_ms = 0;
   std::function<void()> cancel_score;
 };
 
@@ -66,77 +67,80 @@
   std::uint64_t until_ms = 0;
 };
 
-// Text of an item whose batch has ended.
-struct carried_item
+// Text of an item whose batch has ended, for reuse in a later batch.
+struct reusable_text
 {
   item_text text;
-  bool whole = false;
+  bool complete = false;
 };
 
 struct batch_state
 {
-  // Fills in the submission.
+  // Stores the submission and creates the states of its items.
   void set(submission s, const std::string& version_line);
 
-  // Drops the submission and its items: nothing is run any more.
-  void release();
+  // Drops the submission and its items; none of them can run any more.
+  void drop_submission();
 
-  // Not ended, and something may be left to do.
+  // Returns true if the batch has not ended.
   bool is_open() const;
 
-  // Marks the items that are listed as finished and stops nothing.
-  void drop_listed();
+  // Marks waiting items that have a listed result as finished. Does not stop
+  // any runs.
+  void mark_listed_finished();
 
-  // Counts the items without a result anew.
-  void recount();
+  // Recalculates the number of unfinished items of each group.
+  void recount_unfinished();
 
-  // Groups of which all items have a result.
-  std::size_t whole_groups() const;
+  // Returns the number of groups in which every item has a result.
+  std::size_t complete_groups() const;
 
-  // An item has its result; notes whether its group is whole by that.
-  void note_finished(std::size_t index, std::uint64_t now_ms);
+  // Called when an item has its result; records whether that completes its
+  // group.
+  void on_item_finished(std::size_t index, std::uint64_t now_ms);
 
   const item* find_item(const std::string& id) const;
 
   stored_batch stored;
   bool has_submission = false;
-  // Called when the submission has been read, or could not be.
-  std::vector<std::function<void(bool)>> want_submission;
+  // Called with true when the submission has been read, or with false if that
+  // failed.
+  std::vector<std::function<void(bool)>> submission_waiters;
   batches::submission submission;
   std::vector<item_state> items;
   std::unordered_map<std::string, std::size_t> index_of;
-  // Of each group, the items without a result.
-  std::map<std::string, std::size_t> missing;
+  // Number of items without a result, by group.
+  std::map<std::string, std::size_t> unfinished_by_group;
   batches::ledger ledger;
   std::vector<waiting_reader> readers;
-  // This instance owns it, and has read all chunks.
+  // This instance owns the batch; and it has read all of its chunks.
   bool owned = false;
   bool loaded = false;
-  bool load_again = false;
-  // It ended while this instance owned it and knew all its chunks: nothing is
-  // listed any more.
+  bool load_pending = false;
+  // The batch ended while this instance owned it and knew all of its chunks, so
+  // no more results will be listed.
   bool complete = false;
-  // Somebody else may own it by now; until the store has been asked, nobody is
-  // told that there is nothing more.
-  bool doubted = false;
-  bool verifying = false;
+  // Another instance may own the batch by now. Until the store has confirmed
+  // the owner, no reader is told that there are no more results.
+  bool owner_unconfirmed = false;
+  bool confirming_owner = false;
   bool taking_over = false;
   bool removing = false;
-  bool group_became_whole = false;
-  // Revision at which this instance became the owner.
+  bool group_completed = false;
+  // Revision of the batch object at which this instance became the owner.
   std::uint64_t epoch = 0;
   // On the steady clock.
   std::uint64_t due_ms = 0;
-  // When a group became whole that is not yet written.
-  std::uint64_t whole_since_ms = 0;
-  // The kept text of running items: when it was last written, and whether it
-  // stands in the store.
-  std::uint64_t saved_ms = 0;
+  // When the oldest complete group that is not yet written was completed.
+  std::uint64_t group_completed_ms = 0;
+  // The saved text of running items: when it was last written, whether a write
+  // is in progress, and whether the object exists in the store.
+  std::uint64_t last_save_ms = 0;
   bool saving = false;
-  bool has_saved = false;
+  bool has_stored_progress = false;
   std::uint64_t owner_since_ms = 0;
-  std::uint64_t write_again_ms = 0;
-  std::uint64_t looked_ms = 0;
+  std::uint64_t next_write_ms = 0;
+  std::uint64_t chunks_checked_ms = 0;
 };
 
 } // namespace cactusford::batches::detail
--- a/cactusford/membership/directory.cc
+++ b/cactusford/membership/directory.cc
@@ -8,10 +8,10 @@
 namespace cactusford::membership {
 
 void
-note(directory& d, const member& m, std::uint64_t now_ms)
+record(directory& d, const member& m, std::uint64_t now_ms)
 {
   std::erase_if(d.all, [now_ms](const auto& e) {
-    return now_ms - e.second.at_ms > heard_for_ms;
+    return now_ms - e.second.heard_at_ms > member_timeout_ms;
   });
   if (m.capacity > 0) {
     d.all[m.instance] = { m, now_ms };
@@ -25,8 +25,8 @@
 {
   std::vector<member> members;
   for (const auto& [instance, h] : d.all) {
-    if (now_ms - h.at_ms <= heard_for_ms) {
-      members.push_back(h.of);
+    if (now_ms - h.heard_at_ms <= member_timeout_ms) {
+      members.push_back(h.value);
     }
   }
   std::stable_sort(members.begin(), members.end(), [](auto& a, auto& b) {
@@ -65,11 +65,11 @@
     return members;
   }
   for (const auto& e : j) {
-    auto m = store::read_shape([&] {
-      return member{ store::text_field(e, "instance"),
-                     store::text_field(e, "address"),
-                     store::amount_field(e, "capacity"),
-                     store::whole_field(e, "started_ms") };
+    auto m = store::try_decode([&] {
+      return member{ store::string_field(e, "instance"),
+                     store::string_field(e, "address"),
+                     store::number_field(e, "capacity"),
+                     store::uint_field(e, "started_ms") };
     });
     if (m) {
       members.push_back(std::move(*m));
--- a/cactusford/quarantine/report.cc
+++ b/cactusford/quarantine/report.cc
@@ -34,14 +34,14 @@
 crash
 crash_from(const json& j)
 {
-  const auto& backend = store::text_field(j, "backend");
+  const auto& backend = store::string_field(j, "backend");
   if (backend.size() > max_id_size) {
     throw store::field_error{ { "backend", "too long" } };
   }
   return { backend,
-           store::whole_field(j, "started_ms"),
-           fingerprints_from(store::list_field(j, "ran")),
-           store::whole_field_or(j, "at_ms", 0) };
+           store::uint_field(j, "started_ms"),
+           fingerprints_from(store::array_field(j, "ran")),
+           store::uint_field_or(j, "at_ms", 0) };
 }
 
 } // namespace
@@ -66,16 +66,16 @@
 store::decoded<report>
 report_from(const json& spec)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     report r;
-    r.reporter = store::text_field(spec, "by");
-    r.at_ms = store::whole_field(spec, "at_ms");
-    r.answered = fingerprints_from(store::list_field(spec, "answered"));
-    r.trial = store::text_field(spec, "trial");
+    r.reporter = store::string_field(spec, "by");
+    r.at_ms = store::uint_field(spec, "at_ms");
+    r.answered = fingerprints_from(store::array_field(spec, "answered"));
+    r.trial = store::string_field(spec, "trial");
     if (!r.trial.empty()) {
       check_fingerprint(r.trial);
     }
-    const auto& crashes = store::list_field(spec, "ended");
+    const auto& crashes = store::array_field(spec, "ended");
     if (crashes.size() > max_crashes) {
       throw store::field_error{ { "ended", "too many entries" } };
     }
--- a/cactusford/store/paths-test.cc
+++ b/cactusford/store/paths-test.cc
@@ -6,51 +6,54 @@
 
 using namespace cactusford::store;
 
-// The store turns this instance away for seconds and serves the others. Results
-// must be listed meanwhile: calls go through a relay.
-Test(paths, goes_round_a_direct_path_that_is_closed)
+// Guards against an instance that cannot list results because the store rejects
+// it for seconds while serving others: calls go through a relay.
+Test(paths, uses_a_relay_if_the_direct_path_is_closed)
 {
   auto t = make_paths(2);
-  cr_assert_eq(*take_path(t, {}, 0), direct_path);
-  note_path(t, direct_path, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, { direct_path }, 0), 1);
-  note_path(t, 1, path_end::answered, 5);
-  cr_assert_eq(*take_path(t, {}, 10), 1, "the next call starts there");
-  cr_assert_eq(*take_path(t, {}, 2100), direct_path, "and direct again later");
+  cr_assert_eq(*select_path(t, {}, 0), direct_path);
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, { direct_path }, 0), 1);
+  record_outcome(t, 1, path_outcome::answered, 5);
+  cr_assert_eq(
+    *select_path(t, {}, 10), 1, "the next call starts with that relay");
+  cr_assert_eq(*select_path(t, {}, 2100),
+               direct_path,
+               "the direct path is used again later");
 }
 
-// The relay that is listed first has been removed for good. Once, each call
-// waited half a second for it, and never came back to the direct path.
-Test(paths, passes_over_a_relay_that_is_gone)
+// The first relay of the list has been removed for good. Guards against each
+// call waiting half a second for it and never returning to the direct path.
+Test(paths, skips_a_relay_that_is_gone)
 {
   auto t = make_paths(2);
-  note_path(t, direct_path, path_end::failed, 0);
-  note_path(t, 1, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, {}, 10), 2);
-  SECTION("with no relay left the direct path is asked often")
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  record_outcome(t, 1, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, {}, 10), 2);
+  SECTION("without a working relay the direct path is probed often")
   {
-    note_path(t, 2, path_end::failed, 0);
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_not(take_path(t, {}, 10), "but not at once");
-    cr_assert_eq(*take_path(t, {}, 300), direct_path);
+    record_outcome(t, 2, path_outcome::failed, 0);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_not(select_path(t, {}, 10), "not before the interval is over");
+    cr_assert_eq(*select_path(t, {}, 300), direct_path);
   }
 }
 
 // Sidecars learn weight versions through relays, which join their watches. The
-// relays are spread, and the direct path remains.
-Test(paths, begins_with_a_relay_where_that_is_wished)
+// starting relays are spread, and the direct path remains as a fallback.
+Test(paths, starts_with_a_relay_if_configured)
 {
   auto t = make_paths(2, 2);
-  cr_assert_eq(*take_path(t, {}, 0), 2);
-  cr_assert_eq(*take_path(t, { 2 }, 0), direct_path);
-  cr_assert_eq(*take_path(t, { 2, direct_path }, 0), 1);
+  cr_assert_eq(*select_path(t, {}, 0), 2);
+  cr_assert_eq(*select_path(t, { 2 }, 0), direct_path);
+  cr_assert_eq(*select_path(t, { 2, direct_path }, 0), 1);
 }
 
-// The heaviest minute of the store: it is down for everybody for five seconds,
-// and every instance has lists, results and submissions to ask it for, ten of
-// them at a time. Calls are counted that reach it, from a relay and from one of
-// the others. Before, each of these tries was a priced call, and often three.
-Test(paths, asks_a_store_that_is_away_for_all_a_few_times)
+// The store is down for everybody for five seconds, its time of highest load:
+// every instance wants lists, results and submissions from it, ten at a time.
+// Counts the calls that reach it, from a relay and from another instance.
+// Guards against each try being a billed call, often three per request.
+Test(paths, probes_a_store_that_is_down_only_a_few_times)
 {
   constexpr std::uint64_t outage_ms = 5000;
   const auto asked = [&](bool is_relay) {
@@ -58,100 +61,112 @@
     int direct = 0;
     for (std::uint64_t now = 0; now < outage_ms; now += 10) {
       std::vector<std::size_t> tried;
-      while (const auto path = take_path(t, tried, now)) {
+      while (const auto path = select_path(t, tried, now)) {
         tried.push_back(*path);
         direct += *path == direct_path ? 1 : 0;
         const bool own = *path == direct_path;
-        note_path(t, *path, own ? path_end::failed : path_end::store_away, now);
+        record_outcome(t,
+                       *path,
+                       own ? path_outcome::failed
+                           : path_outcome::store_unreachable,
+                       now);
       }
     }
     return direct;
   };
   cr_assert_leq(asked(true), 17);
   cr_assert_leq(asked(false), 3);
-  SECTION("and finds it again when a relay does")
+  SECTION("recovery is detected through a relay")
   {
     auto t = make_paths(2);
-    note_path(t, direct_path, path_end::failed, 0);
-    note_path(t, 1, path_end::store_away, 0);
-    note_path(t, 2, path_end::store_away, 0);
-    cr_assert_not(take_path(t, {}, 299));
-    cr_assert_eq(*take_path(t, {}, 300), 1);
-    note_path(t, 1, path_end::answered, 310);
-    cr_assert_eq(*take_path(t, {}, 311), 1);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    record_outcome(t, 1, path_outcome::store_unreachable, 0);
+    record_outcome(t, 2, path_outcome::store_unreachable, 0);
+    cr_assert_not(select_path(t, {}, 299));
+    cr_assert_eq(*select_path(t, {}, 300), 1);
+    record_outcome(t, 1, path_outcome::answered, 310);
+    cr_assert_eq(*select_path(t, {}, 311), 1);
   }
 }
 
-// A store that is silent takes a second to show it. Calls that come meanwhile
-// don't wait for it too: one asks, the others fail and are told when to return.
+// An unresponsive store is detected after about a second. Calls made meanwhile
+// must not wait too: one probes, the others fail at once and report when to
+// retry.
 Test(paths, sends_one_call_at_a_time_to_a_path_that_failed)
 {
   auto t = make_paths(0);
-  note_path(t, direct_path, path_end::failed, 0);
-  cr_assert_eq(*take_path(t, {}, 300), direct_path);
-  cr_assert_not(take_path(t, {}, 301));
-  note_path(t, direct_path, path_end::answered, 350);
-  cr_assert_eq(*take_path(t, {}, 351), direct_path);
-  cr_assert_eq(*take_path(t, {}, 351), direct_path);
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  cr_assert_eq(*select_path(t, {}, 300), direct_path);
+  cr_assert_not(select_path(t, {}, 301));
+  record_outcome(t, direct_path, path_outcome::answered, 350);
+  cr_assert_eq(*select_path(t, {}, 351), direct_path);
+  cr_assert_eq(*select_path(t, {}, 351), direct_path);
 }
 
-// A partition cuts eight of twenty entries off the store, two of the three
-// relays among them. The first relay says that it does not reach the store.
-// Taken for an outage, it was asked again and again, and an owner that had all
-// results of a step whole could list none of them for twelve seconds.
-Test(paths, goes_round_relays_that_are_cut_off_too)
+// A partition cuts eight of twenty entries off the store, among them two of the
+// three relays. Guards against taking the first relay's report that it cannot
+// reach the store for an outage: that relay was asked again and again, and an
+// owner that had all results of a step could list none of them for twelve
+// seconds.
+Test(paths, skips_relays_that_are_cut_off_too)
 {
   auto t = make_paths(3);
-  note_path(t, direct_path, path_end::failed, 0);
-  note_path(t, 1, path_end::store_away, 1);
-  cr_assert_eq(*take_path(t, { direct_path, 1 }, 2), 2);
-  note_path(t, 2, path_end::store_away, 2);
-  cr_assert_not(take_path(t, { direct_path, 1, 2 }, 3), "three tries a call");
-  SECTION("the next call goes on where this one ended")
+  record_outcome(t, direct_path, path_outcome::failed, 0);
+  record_outcome(t, 1, path_outcome::store_unreachable, 1);
+  cr_assert_eq(*select_path(t, { direct_path, 1 }, 2), 2);
+  record_outcome(t, 2, path_outcome::store_unreachable, 2);
+  cr_assert_not(select_path(t, { direct_path, 1, 2 }, 3),
+                "at most three tries per call");
+  SECTION("the next call continues with the next relay")
   {
-    cr_assert_eq(*take_path(t, {}, 3), 3);
-    note_path(t, 3, path_end::answered, 4);
-    cr_assert_eq(*take_path(t, {}, 5), 3);
+    cr_assert_eq(*select_path(t, {}, 3), 3);
+    record_outcome(t, 3, path_outcome::answered, 4);
+    cr_assert_eq(*select_path(t, {}, 5), 3);
   }
-  SECTION("and to relays that were learned meanwhile")
+  SECTION("relays added meanwhile are used")
   {
-    note_path(t, 3, path_end::failed, 4);
+    record_outcome(t, 3, path_outcome::failed, 4);
     add_path(t);
-    cr_assert_eq(*take_path(t, {}, 5), 4);
+    cr_assert_eq(*select_path(t, {}, 5), 4);
   }
 }
 
-// The store falls silent, and every connection to it is dead. An instance gives
-// up on it and asks its relays, which have just found the same. If a relay
-// takes as long to say so as the instance waits for it, the relay seems dead
-// too and is left for four seconds; if the list that follows waits four seconds
-// as well, the store has long been back while callers are refused by what was
-// known before.
-Test(paths, waits_shortly_on_a_path_that_may_be_dead)
+// The store stops answering, and every connection to it is dead. An instance
+// gives up on it and asks its relays, which have just found the same. If a
+// relay takes as long to report that as the instance waits, the relay seems
+// dead too and is avoided for four seconds. If the next list then waits four
+// seconds as well, callers are refused by a stale configuration long after the
+// store is back.
+Test(paths, uses_short_timeouts_on_a_path_that_may_be_dead)
 {
   constexpr answer_limits l;
   constexpr std::size_t relay = 1;
   constexpr std::uint64_t wait_ms = 1000;
   auto t = make_paths(2);
-  cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.list_ms);
-  SECTION("a list on a path that failed is a short question")
+  cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+               l.list_ms);
+  SECTION("a list on a path that failed has a short timeout")
   {
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.answer_ms);
-    note_path(t, direct_path, path_end::answered, 5);
-    cr_assert_eq(limit_ms(l, t, direct_path, asked::list, 0), l.list_ms);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+                 l.answer_ms);
+    record_outcome(t, direct_path, path_outcome::answered, 5);
+    cr_assert_eq(response_timeout_ms(l, t, direct_path, response_kind::list, 0),
+                 l.list_ms);
   }
-  SECTION("a relay has spoken before its watch is given up")
+  SECTION("a relay answers before its watch times out")
   {
-    const auto at_relay = limit_ms(l, t, relay, asked::watch, wait_ms);
+    const auto at_relay =
+      response_timeout_ms(l, t, relay, response_kind::watch, wait_ms);
     cr_assert_eq(at_relay + relay_extra_ms, wait_ms + l.shared_answer_ms);
   }
-  SECTION("a watch is given up below the time in which a change is in force")
+  SECTION("a watch times out before a change must be in force")
   {
     constexpr std::uint64_t in_force_ms = 2000;
     cr_assert_lt(wait_ms + l.shared_answer_ms, in_force_ms);
-    cr_assert_lt(limit_ms(l, t, direct_path, asked::watch, wait_ms),
-                 in_force_ms);
+    cr_assert_lt(
+      response_timeout_ms(l, t, direct_path, response_kind::watch, wait_ms),
+      in_force_ms);
   }
 }
 
@@ -161,45 +176,45 @@
 {
   constexpr std::uint64_t avoided_ms = 4000;
   auto t = make_paths(2, 1);
-  note_path(t, 1, path_end::store_away, 0);
-  cr_assert_eq(*take_path(t, {}, 1), 2);
-  cr_assert_eq(*take_path(t, {}, avoided_ms - 1), 2);
-  SECTION("it is asked again after some seconds")
+  record_outcome(t, 1, path_outcome::store_unreachable, 0);
+  cr_assert_eq(*select_path(t, {}, 1), 2);
+  cr_assert_eq(*select_path(t, {}, avoided_ms - 1), 2);
+  SECTION("it is used again after some seconds")
   {
-    cr_assert_eq(*take_path(t, {}, avoided_ms), 1);
+    cr_assert_eq(*select_path(t, {}, avoided_ms), 1);
   }
-  SECTION("or when nothing else is left")
+  SECTION("it is used if all other paths failed")
   {
-    note_path(t, 2, path_end::failed, 0);
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(*take_path(t, {}, 300), 1);
+    record_outcome(t, 2, path_outcome::failed, 0);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(*select_path(t, {}, 300), 1);
   }
 }
 
-// Guards against a relay that asks the first one for each watch, however often
-// that has failed.
-Test(paths, close_one_that_failed_to_all_but_one_call)
+// Guards against a relay that asks the first relay for each watch, no matter
+// how often that has failed.
+Test(paths, allow_one_call_on_a_path_that_failed)
 {
   auto t = make_paths(2, 1);
-  cr_assert(take_if_open(t, 1, 0));
-  cr_assert(take_if_open(t, 1, 0), "one that answers takes all");
-  note_path(t, 1, path_end::failed, 0);
-  cr_assert_not(take_if_open(t, 1, 3999));
-  cr_assert(take_if_open(t, 1, 4000));
-  cr_assert_not(take_if_open(t, 1, 4001), "until that call has ended");
-  note_path(t, 1, path_end::answered, 4100);
-  cr_assert(take_if_open(t, 1, 4100));
+  cr_assert(claim_if_open(t, 1, 0));
+  cr_assert(claim_if_open(t, 1, 0), "a path that answers accepts all calls");
+  record_outcome(t, 1, path_outcome::failed, 0);
+  cr_assert_not(claim_if_open(t, 1, 3999));
+  cr_assert(claim_if_open(t, 1, 4000));
+  cr_assert_not(claim_if_open(t, 1, 4001), "closed until that call has ended");
+  record_outcome(t, 1, path_outcome::answered, 4100);
+  cr_assert(claim_if_open(t, 1, 4100));
 }
 
-// Guards against a second try that is held up by what holds up the first:
-// relays may all be behind the same partition.
-Test(paths, try_the_direct_one_second)
+// Guards against a second try that is delayed by the same cause as the first:
+// all relays may be behind the same partition.
+Test(paths, try_the_direct_path_second)
 {
   auto t = make_paths(3, 2);
-  cr_assert_eq(*take_second_path(t, { 2 }, 0), direct_path);
-  SECTION("another relay if it is closed")
+  cr_assert_eq(*select_second_path(t, { 2 }, 0), direct_path);
+  SECTION("another relay if the direct path is closed")
   {
-    note_path(t, direct_path, path_end::failed, 0);
-    cr_assert_eq(*take_second_path(t, { 2 }, 10), 1);
+    record_outcome(t, direct_path, path_outcome::failed, 0);
+    cr_assert_eq(*select_second_path(t, { 2 }, 10), 1);
   }
 }
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -10,24 +10,24 @@
 
 namespace {
 
-// Between the beginnings of a failed call and the next, in milliseconds. A
-// store that is back should be found well within a second; how often it is
-// asked is for the paths to say.
+// Time from the start of a failed call to the start of the next, in
+// milliseconds. Recovery of the store should be noticed well within a second;
+// the paths limit how often it is actually asked.
 constexpr std::uint64_t first_pause_ms = 50;
-constexpr std::uint64_t longest_pause_ms = 400;
+constexpr std::uint64_t max_pause_ms = 400;
 
-// An answer with changes may have been held up by a relay that stood still, and
-// the relay may be silent next: the wait for the answer and the whole of the
-// next watch would be longer than a change may take. A view that is older than
-// this is confirmed by a watch that the store does not hold.
-constexpr std::uint64_t old_ms = 150;
+// An answer with changes may have been delayed by a relay that was paused, and
+// the relay may be silent next: the delay plus the whole next watch would
+// exceed the time within which a change must be known. A view that is older
+// than this is confirmed by a watch that the store does not hold.
+constexpr std::uint64_t stale_after_ms = 150;
 
 std::uint64_t
 pause_after(std::uint32_t failures)
 {
   constexpr std::uint32_t doublings = 4;
   return std::min(first_pause_ms << std::min(failures - 1, doublings),
-                  longest_pause_ms);
+                  max_pause_ms);
 }
 
 } // namespace
@@ -69,13 +69,13 @@
 }
 
 void
-watcher::ask(const call& c, client::handler done)
+watcher::perform(const call& c, client::handler done)
 {
   asked_ms_ = http::now_ms();
   store_.perform(c, std::move(done));
 }
 
-// A call that was waited for has been pause enough.
+// The duration of the failed call counts towards the pause.
 std::uint64_t
 watcher::pause_left() const
 {
@@ -84,67 +84,71 @@
   return waited < pause ? pause - waited : 0;
 }
 
-// One check behind each long watch: a slow store would be asked for ever.
+// At most one check after each long watch, as a slow store would be asked
+// forever otherwise.
 void
-watcher::decide_check()
+watcher::schedule_check()
 {
   const auto age = http::boot_ms() - confirmed_ms_;
-  is_check_ = settings_.is_urgent && !is_check_ && age > old_ms;
+  is_check_ = settings_.is_urgent && !is_check_ && age > stale_after_ms;
 }
 
-// A relay that falls silent while changes gather is found silent no later than
-// another. Equal for all that follow a kind, so that their watches are joined.
+// Subtracts the pause, so that a relay that falls silent during it is detected
+// no later than otherwise. The result is equal for all watchers of a kind, so
+// that their watches can be joined.
 std::uint64_t
 watcher::hold_ms() const
 {
   if (is_check_) {
-    return least_hold_ms;
+    return min_hold_ms;
   }
   const auto gathered = has_gathered_ ? settings_.gather_ms : 0;
   return settings_.wait_ms - std::min(gathered, settings_.wait_ms);
 }
 
 void
-watcher::list(listing sofar)
+watcher::list(listing partial)
 {
   call c;
   c.op = operation::list;
   c.kind = settings_.kind;
-  c.after = sofar.after;
+  c.after = partial.after;
   c.shared = settings_.shared;
-  ask(c, [this, sofar, round = round_](reply&& r) mutable {
-    const bool is_useful = r.what == verdict::done && !r.more;
+  perform(c, [this, partial, round = round_](reply&& r) mutable {
+    const bool is_useful = r.result == call_result::done && !r.more;
     if (!running_ || (round != round_ && !is_useful)) {
       return;
     }
-    if (r.what != verdict::done) {
-      note_failed(operation::list, r.what);
-      wait_and_watch(pause_left());
+    if (r.result != call_result::done) {
+      record_failed_call(operation::list, r.result);
+      watch_after(pause_left());
       return;
     }
-    // Pages are read one after the other; changes since the first of them
-    // come again with the watch, which does no harm.
-    if (sofar.first_as_of == 0) {
-      sofar.first_as_of = r.as_of;
-      sofar.confirmed_ms = r.confirmed_ms;
+    // Pages are read one after the other; the watch repeats changes since the
+    // first of them, which is harmless.
+    if (partial.first_as_of == 0) {
+      partial.first_as_of = r.as_of;
+      partial.confirmed_ms = r.confirmed_ms;
     }
     std::move(
-      r.items.begin(), r.items.end(), std::back_inserter(sofar.objects));
-    std::move(
-      r.broken.begin(), r.broken.end(), std::back_inserter(sofar.broken));
-    // A page without a readable name would be asked for again for ever.
-    const bool moves_on = !r.last_name.empty() && r.last_name != sofar.after;
-    if (r.more && moves_on) {
-      sofar.after = r.last_name;
-      list(std::move(sofar));
+      r.items.begin(), r.items.end(), std::back_inserter(partial.objects));
+    std::move(r.unreadable_objects.begin(),
+              r.unreadable_objects.end(),
+              std::back_inserter(partial.unreadable_objects));
+    // A page without a readable name would be requested forever.
+    const bool makes_progress =
+      !r.last_name.empty() && r.last_name != partial.after;
+    if (r.more && makes_progress) {
+      partial.after = r.last_name;
+      list(std::move(partial));
       return;
     }
-    end_list(std::move(sofar), round);
+    end_list(std::move(partial), round);
   });
 }
 
-// A list that was joined with one of another instance may be older than what
-// came with a watch since.
+// A list that was joined with one of another instance may be older than what a
+// watch has shown since.
 bool
 watcher::is_older_than_shown(const listing& l) const
 {
@@ -163,15 +167,15 @@
                         .with("as_of", l.first_as_of)
                         .with("shown", as_of_));
     ++failures_;
-    wait_and_watch(pause_left());
+    watch_after(pause_left());
     return;
   }
   listed_ = true;
   needs_list_ = false;
   as_of_ = l.first_as_of;
-  note_confirmed(l.confirmed_ms);
+  record_confirmation(l.confirmed_ms);
   events_.on_list(std::move(l.objects));
-  tell_unreadable(l.broken);
+  report_unreadable(l.unreadable_objects);
   if (events_.on_current) {
     events_.on_current();
   }
@@ -181,7 +185,7 @@
 }
 
 void
-watcher::note_failed(operation op, verdict v)
+watcher::record_failed_call(operation op, call_result v)
 {
   ++failures_;
   process::log_line(
@@ -195,7 +199,7 @@
 }
 
 void
-watcher::note_confirmed(std::uint64_t at_ms)
+watcher::record_confirmation(std::uint64_t at_ms)
 {
   if (failures_ > 0) {
     process::log_line(
@@ -211,9 +215,10 @@
 }
 
 void
-watcher::tell_unreadable(const std::vector<unreadable>& broken)
+watcher::report_unreadable(
+  const std::vector<unreadable_object>& unreadable_objects)
 {
-  for (const auto& u : broken) {
+  for (const auto& u : unreadable_objects) {
     if (events_.on_unreadable) {
       events_.on_unreadable(u);
     } else {
@@ -239,8 +244,8 @@
   c.wait_ms = hold_ms();
   has_gathered_ = false;
   c.shared = settings_.shared;
-  ask(c, [this, round = round_](reply&& r) {
-    const bool is_useful = r.what == verdict::done;
+  perform(c, [this, round = round_](reply&& r) {
+    const bool is_useful = r.result == call_result::done;
     if (running_ && (round == round_ || is_useful)) {
       on_reply(std::move(r), round);
     }
@@ -250,45 +255,47 @@
 void
 watcher::on_reply(reply&& r, std::uint64_t round)
 {
-  if (r.what == verdict::history_gone || r.what == verdict::missing) {
+  if (r.result == call_result::history_gone ||
+      r.result == call_result::missing) {
     needs_list_ = true;
     watch();
     return;
   }
-  if (r.what != verdict::done) {
-    // A watch that was cut may have missed changes whose history is dropped
-    // a moment later. The next watch would be held as if nothing had changed;
-    // a list shows what stands.
+  if (r.result != call_result::done) {
+    // A watch whose connection was lost may have missed changes whose history
+    // is dropped a moment later. The next watch would be held as if nothing had
+    // changed; a list returns the current state.
     needs_list_ = true;
-    note_failed(operation::watch, r.what);
-    wait_and_watch(pause_left());
+    record_failed_call(operation::watch, r.result);
+    watch_after(pause_left());
     return;
   }
-  // An answer without changes may have been made while the store held some
-  // back: its revision is then ahead of what we were shown, and going on from
-  // there would skip them for good. From the older one they still come, or
-  // the history is gone and the kind is listed again.
-  const bool has_news = !r.changes.empty() || !r.broken.empty();
-  if (has_news) {
+  // An answer without changes may have been made while the store was still
+  // holding some back. Its revision is then ahead of the changes received, and
+  // continuing from it would skip them for good. Watching from the older
+  // revision still returns them, or the history is gone and the kind is listed
+  // again.
+  const bool has_changes = !r.changes.empty() || !r.unreadable_objects.empty();
+  if (has_changes) {
     as_of_ = std::max(as_of_, r.as_of);
   }
-  note_confirmed(r.confirmed_ms);
-  decide_check();
+  record_confirmation(r.confirmed_ms);
+  schedule_check();
   for (auto& c : r.changes) {
     events_.on_change(std::move(c));
   }
-  tell_unreadable(r.broken);
+  report_unreadable(r.unreadable_objects);
   if (events_.on_current) {
     events_.on_current();
   }
   if (round == round_) {
-    has_gathered_ = has_news;
-    wait_and_watch(has_news ? settings_.gather_ms : 0);
+    has_gathered_ = has_changes;
+    watch_after(has_changes ? settings_.gather_ms : 0);
   }
 }
 
 void
-watcher::wait_and_watch(std::uint64_t ms)
+watcher::watch_after(std::uint64_t ms)
 {
   if (ms == 0) {
     watch();
--- a/tests/batches_world.h
+++ b/tests/batches_cluster.h
@@ -1,8 +1,9 @@
-// Entries that share batches through a store, in one process: each entry has
-// its own event loop, so that one can be paused and woken.
+// Test cluster: several entries in one process that share batches through a
+// store. Each entry has its own event loop, so that it can be paused and
+// resumed.
 #pragma once
 
-#include "cactusford/batches/keeper.h"
+#include "cactusford/batches/manager.h"
 #include "cactusford/http/socket.h"
 #include "cactusford/store/watcher.h"
 #include "standins/object_store.h"
@@ -22,11 +23,11 @@
 
 constexpr std::string_view batch_id = "batch-1";
 
-// Longer than any step here takes; reached only when something hangs.
-constexpr std::uint64_t hang_ms = 30000;
+// Longer than any step of these tests takes; exceeded only if something hangs.
+constexpr std::uint64_t hang_timeout_ms = 30000;
 
 inline routes::table_ptr
-table_of_tests()
+test_route_table()
 {
   auto t = std::make_shared<routes::table>();
   routes::route batch;
@@ -48,8 +49,9 @@
   return t;
 }
 
-// Long enough for every test that reads, short enough to wait for.
-constexpr std::uint64_t keep_ms = 2000;
+// Long enough for every test that reads results, short enough to wait for the
+// removal.
+constexpr std::uint64_t retention_ms = 2000;
 
 struct entry
 {
@@ -57,24 +59,24 @@
   http::client http{ io };
   edge::dialect dialect = standins::plain_dialect();
   backends::registry registry;
-  routes::table_ptr table = table_of_tests();
+  routes::table_ptr table = test_route_table();
   http::server peer;
   http::server front;
   store::client store;
-  // Started by the tests that need it.
+  // Started only by the tests that need it.
   quarantine::manager guard;
   edge::forwarder forwarder;
-  std::unique_ptr<batches::keeper> keeper;
+  std::unique_ptr<batches::manager> batch_manager;
   std::unique_ptr<store::watcher> watcher;
   bool running = true;
-  // The largest entries, as it has heard.
-  std::vector<membership::member> others;
-  // Does not tell others that it lives.
-  bool is_mute = false;
-  // Takes no submission that is passed on; or does not answer to one.
-  bool refuses_batches = false;
-  bool hides_acceptance = false;
-  int alive_answers = 0;
+  // The largest entries known to this one.
+  std::vector<membership::member> largest_entries;
+  // Leaves liveness probes unanswered.
+  bool ignores_probes = false;
+  // Refuses forwarded submissions; or leaves them unanswered.
+  bool refuses_submissions = false;
+  bool ignores_submissions = false;
+  int answered_probes = 0;
   std::vector<http::call> unanswered;
 
   entry(const std::string& name, const std::string& store_address)
@@ -86,33 +88,33 @@
   {
     cr_assert_not(peer.listen("127.0.0.1:0"));
     cr_assert_not(front.listen("127.0.0.1:0"));
-    keeper = std::make_unique<batches::keeper>(
-      batches::keeper_parts{ io,
-                             http,
-                             store,
-                             registry,
-                             dialect,
-                             forwarder,
-                             [this] { return table; },
-                             name,
-                             "127.0.0.1:" + std::to_string(peer.port()),
-                             "a",
-                             keep_ms,
-                             1,
-                             [this] { return others; },
-                             &guard });
+    batch_manager = std::make_unique<batches::manager>(
+      batches::manager_dependencies{ io,
+                                     http,
+                                     store,
+                                     registry,
+                                     dialect,
+                                     forwarder,
+                                     [this] { return table; },
+                                     name,
+                                     "127.0.0.1:" + std::to_string(peer.port()),
+                                     "a",
+                                     retention_ms,
+                                     1,
+                                     [this] { return largest_entries; },
+                                     &guard });
     watcher = std::make_unique<store::watcher>(
       io,
       store,
       store::watch_settings{ std::string{ batches::batch_kind }, 1000 },
       store::watch_events{
         [this](std::vector<store::object>&& all) {
-          keeper->on_list(std::move(all));
+          batch_manager->on_list(std::move(all));
         },
-        [this](store::change&& c) { keeper->on_change(std::move(c)); },
+        [this](store::change&& c) { batch_manager->on_change(std::move(c)); },
         {} });
     store.on_regained = [this](std::uint64_t) { watcher->refresh(); };
-    keeper->start();
+    batch_manager->start();
     watcher->start();
   }
 
@@ -125,11 +127,11 @@
   {
     const auto path = http::path_of(c.request().target);
     if (path == batches::peer_alive_path) {
-      if (is_mute) {
+      if (ignores_probes) {
         unanswered.push_back(c);
       } else {
-        ++alive_answers;
-        c.respond({ keeper->can_own() ? 200 : 503, {}, "" });
+        ++answered_probes;
+        c.respond({ batch_manager->can_own() ? 200 : 503, {}, "" });
       }
       return;
     }
@@ -137,25 +139,25 @@
       store.relay(c);
       return;
     }
-    if (path.starts_with(batches::peer_passed_path)) {
-      const auto id = path.substr(batches::peer_passed_path.size());
-      if (refuses_batches) {
+    if (path.starts_with(batches::peer_forwarded_path)) {
+      const auto id = path.substr(batches::peer_forwarded_path.size());
+      if (refuses_submissions) {
         c.respond({ 421, {}, "" });
-      } else if (hides_acceptance) {
+      } else if (ignores_submissions) {
         unanswered.push_back(c);
       } else {
-        keeper->on_passed(c, std::string{ id });
+        batch_manager->on_submission_forwarded(c, std::string{ id });
       }
       return;
     }
     if (path.starts_with(batches::peer_taken_path)) {
-      keeper->on_taken(
+      batch_manager->on_takeover(
         std::string{ path.substr(batches::peer_taken_path.size()) });
       c.respond({ 200, {}, "" });
       return;
     }
     if (path.starts_with(batches::peer_ended_path)) {
-      keeper->on_ended(
+      batch_manager->on_batch_ended(
         std::string{ path.substr(batches::peer_ended_path.size()) });
       c.respond({ 200, {}, "" });
       return;
@@ -165,7 +167,7 @@
     r.after = http::parse_number(
                 http::query_value(c.request().target, "after").value_or("0"))
                 .value_or(0);
-    keeper->read(c, r, true);
+    batch_manager->read(c, r, true);
   }
 
   void on_caller(const http::call& c)
@@ -175,20 +177,20 @@
     b.id = std::string{ http::find(r.fields, "Id").value_or("") };
     b.workspace = std::string{ http::find(r.fields, "Workspace").value_or("") };
     if (r.method == "POST") {
-      keeper->accept(c, b.id, b.workspace, http::now_ms() + 1500);
+      batch_manager->accept(c, b.id, b.workspace, http::now_ms() + 1500);
     } else if (r.method == "DELETE") {
-      keeper->end(c, b);
+      batch_manager->end(c, b);
     } else {
       b.after = http::number(r.fields, "After").value_or(0);
-      keeper->read(c, b, false);
+      batch_manager->read(c, b, false);
     }
   }
 
-  void know(const std::string& id,
-            const std::string& service,
-            const std::string& address,
-            std::uint64_t version,
-            std::uint64_t started_ms = 1)
+  void announce_backend(const std::string& id,
+                        const std::string& service,
+                        const std::string& address,
+                        std::uint64_t version,
+                        std::uint64_t started_ms = 1)
   {
     backends::announcement a;
     a.id = id;
@@ -198,11 +200,11 @@
     a.slots = 8;
     a.versions["m"] = version;
     backends::announce(registry, a);
-    keeper->on_backends();
+    batch_manager->on_backends();
   }
 };
 
-struct world
+struct batch_cluster
 {
   asio::io_context io;
   object_store store{ io };
@@ -210,10 +212,10 @@
   stream_engine scorer{ io, "s1" };
   http::client caller{ io };
   std::vector<std::unique_ptr<entry>> entries;
-  // On whose behalf the caller asks.
+  // The workspace of the caller.
   std::string workspace;
 
-  explicit world(int count)
+  explicit batch_cluster(int count)
   {
     for (int i = 0; i < count; ++i) {
       add_entry("entry-" + std::to_string(i));
@@ -228,16 +230,17 @@
   entry& add_entry(const std::string& name)
   {
     entries.push_back(std::make_unique<entry>(name, store.address()));
-    entries.back()->know("e1", "engines", engine.address(), engine.version);
-    entries.back()->know("s1", "scorers", scorer.address(), 0);
+    entries.back()->announce_backend(
+      "e1", "engines", engine.address(), engine.version);
+    entries.back()->announce_backend("s1", "scorers", scorer.address(), 0);
     return *entries.back();
   }
 
   void run_until(const std::function<bool()>& done)
   {
-    const auto limit = http::now_ms() + hang_ms;
+    const auto limit = http::now_ms() + hang_timeout_ms;
     while (!done()) {
-      cr_assert_lt(http::now_ms(), limit, "it hangs");
+      cr_assert_lt(http::now_ms(), limit, "the cluster hangs");
       std::size_t ran = io.poll();
       for (const auto& e : entries) {
         ran += e->running ? e->io.poll() : 0;
@@ -262,7 +265,7 @@
                        { "Workspace", workspace } },
                      body };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       e.front_address(), r, o, [&](http::end_state, http::response&& a) {
         status = a.status;
@@ -272,7 +275,7 @@
     return status;
   }
 
-  // The results from a position onward, or nothing when refused.
+  // Returns a page of results from a position onward, or nothing if refused.
   std::optional<json> read(entry& e, std::size_t after = 0)
   {
     std::optional<json> page;
@@ -285,7 +288,7 @@
                        { "After", std::to_string(after) } },
                      "" };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       e.front_address(), r, o, [&](http::end_state, http::response&& a) {
         if (a.status == 200) {
@@ -297,8 +300,8 @@
     return page;
   }
 
-  // Reads until all items are listed.
-  json read_whole(entry& e, std::size_t total)
+  // Reads until the results of all items are listed.
+  json read_all(entry& e, std::size_t total)
   {
     json all = json::array();
     while (all.size() < total) {
@@ -312,7 +315,7 @@
     return all;
   }
 
-  // A chunk with results stands in the store.
+  // Returns true if the store contains a chunk with results.
   bool has_results() const
   {
     const auto chunks = store.all("results");
@@ -322,27 +325,30 @@
     });
   }
 
-  // An answer that says nothing is listed denies results that were shown.
+  // Returns true if the entry answers with an empty page, which denies results
+  // that have already been shown.
   bool denies_results(entry& e)
   {
     const auto page = read(e);
     return page && page->at("results").empty();
   }
 
-  // Until the others have heard that it lives.
+  // Waits until the other entries have received an answer to a probe from this
+  // one.
   void wait_until_seen(entry& e)
   {
-    const auto asked = e.alive_answers;
-    run_until([&] { return e.alive_answers >= asked + 2; });
+    const auto asked = e.answered_probes;
+    run_until([&] { return e.answered_probes >= asked + 2; });
   }
 
-  // Passes a submission on as another entry would; the answer's status.
-  int pass_on(entry& e, http::headers fields, const std::string& body)
+  // Forwards a submission as another entry would, and returns the status of the
+  // response.
+  int forward(entry& e, http::headers fields, const std::string& body)
   {
     int status = 0;
     http::request r{ "POST", "/passed/batch-x", std::move(fields), body };
     http::exchange_options o;
-    o.timeout_ms = hang_ms;
+    o.timeout_ms = hang_timeout_ms;
     caller.fetch(
       "127.0.0.1:" + std::to_string(e.peer.port()),
       r,
@@ -352,7 +358,7 @@
     return status;
   }
 
-  // Who owns the batch, by the store.
+  // Returns the owner of the batch according to the store.
   std::string owner() const
   {
     const auto* o =
@@ -383,9 +389,10 @@
   return j.dump();
 }
 
-// Each item stands once, whole, scored by its own call.
+// Checks that each item is listed once, with its complete text and with the
+// score of its own scorer call.
 inline void
-check_whole(const json& all, const stream_engine& engine)
+check_results(const json& all, const stream_engine& engine)
 {
   std::set<std::string> seen;
   for (const auto& r : all) {
