--- a/cactusford/batches/manager.h
+++ b/cactusford/batches/manager.h
@@ -58,7 +58,7 @@
     return std::vector<membership::member>{};
   };
   // Null: no item is quarantined.
-  quarantine::manager* guard = nullptr;
+  quarantine::manager* quarantine_manager = nullptr;
 };
 
 class manager
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -232,15 +232,15 @@
 bool
 manager::impl::is_quarantined(const batch_state& b, const item_state& i)
 {
-  if (deps.guard == nullptr) {
+  if (deps.quarantine_manager == nullptr) {
     return false;
   }
   const auto decision =
-    deps.guard->evaluate(i.work, quarantine::run_kind::item);
+    deps.quarantine_manager->evaluate(i.work, quarantine::run_kind::item);
   if (decision.status != quarantine::request_status::quarantined) {
     return false;
   }
-  deps.guard->note_refused();
+  deps.quarantine_manager->note_refused();
   process::log_line(timeline::event{ "item_quarantined" }
                       .with("request", b.submission.items[i.index].id)
                       .with("work", i.work)
@@ -255,16 +255,16 @@
 void
 manager::impl::report_to_quarantine(const item_state& i, http::end_state end)
 {
-  if (deps.guard == nullptr) {
+  if (deps.quarantine_manager == nullptr) {
     return;
   }
   const auto now = http::now_ms();
   const bool is_healthy =
     i.events_in_run > 0 && now - i.first_event_ms > healthy_run_ms;
   if (end == http::end_state::cut && !is_healthy) {
-    deps.guard->on_connection_lost(i.backend, i.address, i.work);
+    deps.quarantine_manager->on_connection_lost(i.backend, i.address, i.work);
   } else if (end == http::end_state::complete && !i.not_run) {
-    deps.guard->on_answered(i.work);
+    deps.quarantine_manager->on_answered(i.work);
   }
 }
 
--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -76,13 +76,14 @@
 manager::impl::is_suspect(const unscored_text& t)
 {
   const auto* b = find_batch(t.batch);
-  if (deps.guard == nullptr || b == nullptr || !b->owned ||
+  if (deps.quarantine_manager == nullptr || b == nullptr || !b->owned ||
       t.at >= b->items.size()) {
     return false;
   }
   const auto work =
     quarantine::fingerprint_of(request_of(*b->submission.items[t.at].scorer));
-  const auto decision = deps.guard->evaluate(work, quarantine::run_kind::call);
+  const auto decision =
+    deps.quarantine_manager->evaluate(work, quarantine::run_kind::call);
   return quarantine::has_crashes(decision) &&
          decision.status != quarantine::request_status::quarantined;
 }
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -64,7 +64,7 @@
   http::server front;
   store::client store;
   // Started only by the tests that need it.
-  quarantine::manager guard;
+  quarantine::manager quarantine_manager;
   edge::forwarder forwarder;
   std::unique_ptr<batches::manager> batch_manager;
   std::unique_ptr<store::watcher> watcher;
@@ -83,8 +83,8 @@
     : peer{ io, {}, [this](const http::call& c) { on_peer(c); } }
     , front{ io, {}, [this](const http::call& c) { on_caller(c); } }
     , store{ io, http, dialect.store, { store_address, {} } }
-    , guard{ io, store, registry, { name } }
-    , forwarder{ io, http, registry, dialect, "a", &guard }
+    , quarantine_manager{ io, store, registry, { name } }
+    , forwarder{ io, http, registry, dialect, "a", &quarantine_manager }
   {
     cr_assert_not(peer.listen("127.0.0.1:0"));
     cr_assert_not(front.listen("127.0.0.1:0"));
@@ -102,7 +102,7 @@
                                      retention_ms,
                                      1,
                                      [this] { return largest_entries; },
-                                     &guard });
+                                     &quarantine_manager });
     watcher = std::make_unique<store::watcher>(
       io,
       store,
