--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -104,7 +104,7 @@
   batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
-  e.guard.start();
+  e.quarantine_manager.start();
   engine_pool engines{ w, 3, "fatal" };
   cr_assert_eq(w.call(e, "POST", submission_with("fatal")), 202);
   engines.run_until([&] { return engines.crashes() >= 5; });
@@ -134,7 +134,7 @@
   batch_cluster w{ 1 };
   withdraw_first_engine(w);
   auto& e = *w.entries[0];
-  e.guard.start();
+  e.quarantine_manager.start();
   engine_pool engines{ w, 3, "" };
   const auto slow_engines = [&] {
     for (const auto& engine : engines.all) {
@@ -157,7 +157,7 @@
   for (const auto& r : all) {
     cr_assert(r.at("done").get<bool>());
   }
-  cr_assert_eq(e.guard.counts().refusals, 0);
+  cr_assert_eq(e.quarantine_manager.counts().refusals, 0);
 }
 
 // A scorer call crashes each server that runs it. Without the quarantine it
@@ -169,7 +169,7 @@
   batch_cluster w{ 1 };
   auto& e = *w.entries[0];
   backends::drop(e.registry, "s1");
-  e.guard.start();
+  e.quarantine_manager.start();
   standins::frail_options o;
   o.service = "scorers";
   std::set<std::string> poison_bodies;
