--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -212,7 +212,7 @@
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
                         .with("ends", o.ends)
-                        .with("come_back_ms", o.come_back_ms));
+                        .with("come_back_ms", o.retry_after_ms));
   }
   i.score_retry_at_ms =
     http::now_ms() + (quarantined ? quarantine_check_ms : score_retry_ms);
