--- a/cactusford/batches/scoring.cc
+++ b/cactusford/batches/scoring.cc
@@ -211,7 +211,7 @@
     process::log_line(timeline::event{ "item_score_quarantined" }
                         .with("request", item.id)
                         .with("scorer_request", item.scorer->id)
-                        .with("ends", o.ends)
+                        .with("ends", o.crashes)
                         .with("come_back_ms", o.retry_after_ms));
   }
   i.score_retry_at_ms =
