--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -673,7 +673,8 @@
     });
   c.on_gone([this, cancel, id] {
     metrics.add("calls_abandoned");
-    process::log_line(timeline::event{ "call_gone" }.with("request", id));
+    process::log_line(
+      timeline::event{ "caller_disconnected" }.with("request", id));
     cancel();
   });
 }
--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -163,7 +163,7 @@
           .with("before", before)
           .with("took_ms", took)
           .with("shortest_ms", pacing_.fastest_load_ms)
-          .with("passed_over", std::uint64_t{ pacing_.extra_stride })
+          .with("extra_stride", std::uint64_t{ pacing_.extra_stride })
           .with("spread_ms", pacing_.spread_ms));
     }
     before = version;
