--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -94,7 +94,7 @@
 Test(forward, does_not_repeat_a_suspect_after_a_lost_connection)
 {
   auto suspect = progress(true, 1, 3);
-  suspect.repeatable_after_cut = false;
+  suspect.repeatable_after_disconnect = false;
   cr_assert(after_attempt(ended(end_state::cut), suspect) ==
             next_step::give_up_unknown);
   cr_assert(after_attempt(ended(end_state::not_sent), suspect) ==
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -79,7 +79,8 @@
                        : next_step::give_up_unknown;
   }
   const bool is_cut = end.state == http::end_state::cut;
-  const bool repeatable = p.repeatable && (!is_cut || p.repeatable_after_cut);
+  const bool repeatable =
+    p.repeatable && (!is_cut || p.repeatable_after_disconnect);
   const bool may_repeat =
     repeatable && may_contact_another && p.runs < p.max_runs;
   if (complete) {
@@ -541,7 +542,7 @@
   call->failed_runs += is_failed_run(ended) ? 1 : 0;
   call_progress progress;
   progress.repeatable = call->is_repeatable();
-  progress.repeatable_after_cut =
+  progress.repeatable_after_disconnect =
     !call->is_suspect && !call->input.no_retry_after_disconnect;
   progress.runs = call->runs;
   progress.max_runs =
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -91,7 +91,7 @@
   std::uint32_t max_runs = 1;
   std::uint32_t contacted_count = 0;
   // False: no further attempt after one has lost its connection.
-  bool repeatable_after_cut = true;
+  bool repeatable_after_disconnect = true;
 };
 
 // Pure.
--- a/cactusford/orders/load_plan-test.cc
+++ b/cactusford/orders/load_plan-test.cc
@@ -30,12 +30,13 @@
 
   // Number of engines that can serve the step of the version as soon as it is
   // published.
-  std::size_t serving(std::size_t model, std::uint64_t version) const
+  std::size_t count_serving(std::size_t model, std::uint64_t version) const
   {
     std::size_t count = 0;
     for (std::uint32_t i = 0; i < loaded.size(); ++i) {
-      const bool kept = is_assigned(model, models, { i });
-      count += kept && loaded[i][model] + accepted_lag >= version ? 1 : 0;
+      const bool loads_model = is_assigned(model, models, { i });
+      count +=
+        loads_model && loaded[i][model] + accepted_lag >= version ? 1 : 0;
     }
     return count;
   }
@@ -74,9 +75,11 @@
     for (std::uint64_t version = 2; version < 20; ++version) {
       std::size_t loads = 0;
       for (std::size_t m = 0; m < models; ++m) {
-        const auto kept = 39 * std::min(models, models_per_engine) / models;
+        const auto engines_per_model =
+          39 * std::min(models, models_per_engine) / models;
         if (version > 4) {
-          cr_assert_geq(f.serving(m, version), kept / stride - 1);
+          cr_assert_geq(f.count_serving(m, version),
+                        engines_per_model / stride - 1);
         }
         loads += f.publish(m, version);
       }
@@ -96,34 +99,34 @@
   f.publish(0, 6);
   f.publish(0, 7);
   for (std::uint64_t version = 8; version < 16; ++version) {
-    cr_assert_geq(f.serving(0, version), 9, "at version %lu", version);
+    cr_assert_geq(f.count_serving(0, version), 9, "at version %lu", version);
     cr_assert_leq(f.publish(0, version), 11);
   }
 }
 
 Test(load_plan, adapts_to_how_long_loads_take)
 {
-  for (const std::uint64_t alone_ms : { 300U, 900U, 5000U }) {
+  for (const std::uint64_t undisturbed_ms : { 300U, 900U, 5000U }) {
     load_pacing pacing;
-    record_load(pacing, alone_ms);
+    record_load(pacing, undisturbed_ms);
     SECTION("the stride grows while loads slow each other down")
     {
       for (int i = 0; i < 20; ++i) {
-        record_load(pacing, 3 * alone_ms);
+        record_load(pacing, 3 * undisturbed_ms);
       }
       cr_assert_eq(load_stride(2, pacing), 4);
     }
     SECTION("the stride shrinks while loads are not slowed down")
     {
       for (int i = 0; i < 20; ++i) {
-        record_load(pacing, alone_ms);
+        record_load(pacing, undisturbed_ms);
       }
       cr_assert_eq(load_stride(2, pacing), 2);
     }
     SECTION("a single slow load, as in an outage, changes nothing")
     {
-      record_load(pacing, 10 * alone_ms);
-      record_load(pacing, alone_ms);
+      record_load(pacing, 10 * undisturbed_ms);
+      record_load(pacing, undisturbed_ms);
       cr_assert_eq(load_stride(2, pacing), 2);
     }
   }
@@ -137,13 +140,13 @@
 Test(load_plan, engines_take_turns_after_a_publication)
 {
   constexpr std::uint32_t engines = 30;
-  constexpr std::uint64_t alone_ms = 900;
+  constexpr std::uint64_t undisturbed_ms = 900;
   constexpr std::size_t parallel_loads = 8;
   publication history;
   record_publication(history, 1, 1000);
   record_publication(history, 2, 1000 + step_ms);
   load_pacing pacing;
-  record_load(pacing, alone_ms);
+  record_load(pacing, undisturbed_ms);
   std::size_t max_overlapping = engines;
   for (int step = 0; step < 8; ++step) {
     std::vector<std::uint64_t> start_times;
@@ -155,13 +158,13 @@
     for (const auto start : start_times) {
       const auto overlapping = std::count_if(
         start_times.begin(), start_times.end(), [start](std::uint64_t other) {
-          return other <= start && start < other + alone_ms;
+          return other <= start && start < other + undisturbed_ms;
         });
       max_overlapping =
         std::max(max_overlapping, static_cast<std::size_t>(overlapping));
     }
     record_load(pacing,
-                alone_ms * std::max(max_overlapping, parallel_loads) /
+                undisturbed_ms * std::max(max_overlapping, parallel_loads) /
                   parallel_loads);
     cr_assert_lt(*std::max_element(start_times.begin(), start_times.end()),
                  step_ms);
@@ -170,16 +173,16 @@
   SECTION("engines start at once again when loads are not slowed down")
   {
     for (int i = 0; i < 100; ++i) {
-      record_load(pacing, alone_ms);
+      record_load(pacing, undisturbed_ms);
     }
     cr_assert_lt(load_delay_ms(load_timing::now, history, { 1 }, pacing),
-                 alone_ms / 4);
+                 undisturbed_ms / 4);
   }
   SECTION("an engine that can serve the step that starts skips its turn")
   {
     load_pacing slow_pacing;
-    record_load(slow_pacing, alone_ms);
-    record_load(slow_pacing, 3 * alone_ms);
+    record_load(slow_pacing, undisturbed_ms);
+    record_load(slow_pacing, 3 * undisturbed_ms);
     for (std::uint32_t i = 0; i < engines; ++i) {
       cr_assert(choose_timing({ "m", 5, 4 }, 4, { i }, slow_pacing) ==
                 load_timing::never);
@@ -244,13 +247,13 @@
 {
   constexpr std::uint32_t engines = 38;
   for (const std::size_t models : { 1U, 2U, 4U, 8U }) {
-    std::vector<std::size_t> kept(models, 0);
+    std::vector<std::size_t> engines_per_model(models, 0);
     for (std::uint32_t i = 0; i < engines; ++i) {
       for (std::size_t at = 0; at < models; ++at) {
-        kept[at] += is_assigned(at, models, { i }) ? 1 : 0;
+        engines_per_model[at] += is_assigned(at, models, { i }) ? 1 : 0;
       }
     }
-    for (const auto count : kept) {
+    for (const auto count : engines_per_model) {
       cr_assert_geq(count,
                     engines * std::min(models, models_per_engine) / models - 1);
     }
