--- a/cactusford/store/paths.h
+++ b/cactusford/store/paths.h
@@ -42,7 +42,7 @@
   path_outcome last_outcome = path_outcome::answered;
   // No call uses the path before this time.
   std::uint64_t closed_until_ms = 0;
-  // No call uses the path before this time unless all other paths fail.
+  // No call uses the path before this time unless no other path is open.
   std::uint64_t avoided_until_ms = 0;
 
   friend bool operator==(const path_state&, const path_state&) = default;
--- a/cactusford/store/watcher.cc
+++ b/cactusford/store/watcher.cc
@@ -84,8 +84,8 @@
   return waited < pause ? pause - waited : 0;
 }
 
-// At most one check after each long watch, as a slow store would be asked
-// forever otherwise.
+// At most one check after each long watch, as a slow store would otherwise be
+// asked again and again.
 void
 watcher::schedule_check()
 {
--- a/cactusford/usage/counts-test.cc
+++ b/cactusford/usage/counts-test.cc
@@ -62,9 +62,9 @@
     for (std::uint64_t incarnation = 0; incarnation < incarnations;
          ++incarnation) {
       const auto runs = *rc::gen::inRange<std::uint64_t>(1, 20);
-      for (std::uint64_t sofar = 1; sofar <= runs; ++sofar) {
+      for (std::uint64_t total = 1; total <= runs; ++total) {
         messages.push_back(
-          counts_of("a", incarnation, { { 3, { { "w", sofar } } } }));
+          counts_of("a", incarnation, { { 3, { { "w", total } } } }));
       }
       expected["w"] += runs;
     }
