--- a/cactusford/store/paths.h
+++ b/cactusford/store/paths.h
@@ -39,10 +39,10 @@
 
 struct path_state
 {
-  path_outcome last = path_outcome::answered;
+  path_outcome last_outcome = path_outcome::answered;
   // No call uses the path before this time.
   std::uint64_t closed_until_ms = 0;
-  // No call uses the path before this time unless all other paths fail.
+  // No call uses the path before this time unless no other path is open.
   std::uint64_t avoided_until_ms = 0;
 
   friend bool operator==(const path_state&, const path_state&) = default;
@@ -99,7 +99,7 @@
 void
 record_outcome(path_table& t,
                std::size_t path,
-               path_outcome end,
+               path_outcome outcome,
                std::uint64_t now_ms);
 
 // What a call requests, as far as it affects how long the answer may take.
