--- a/cactusford/batches/engine_use.h
+++ b/cactusford/batches/engine_use.h
@@ -1,5 +1,5 @@
 // Tracks how many runs other instances have on each engine, from their own
-// reports. Pure.
+// reports. Does no I/O.
 //
 // Owners of several trainers start their steps at the same moment, on the same
 // engines. Each owner knows an engine's load only from the responses to its own
--- a/cactusford/batches/event_reader.h
+++ b/cactusford/batches/event_reader.h
@@ -1,5 +1,6 @@
 // Parses a stream of events (text/event-stream) from chunks of bytes with
-// arbitrary boundaries, and appends the events to the text of an item. Pure.
+// arbitrary boundaries, and appends the events to the text of an item. Does
+// no I/O.
 #pragma once
 
 #include <cstdint>
--- a/cactusford/batches/ledger.h
+++ b/cactusford/batches/ledger.h
@@ -1,6 +1,7 @@
 // Assigns positions to the results of a batch. A result gets its position when
 // the store acknowledges the chunk that contains it. Chunk k is created once
-// and never replaced, by an owner that has read all earlier chunks. Pure.
+// and never replaced, by an owner that has read all earlier chunks. Does
+// no I/O.
 //
 // An owner that was paused or partitioned may still write after another
 // instance has taken over. A new owner therefore first creates an empty chunk
--- a/cactusford/batches/manager.cc
+++ b/cactusford/batches/manager.cc
@@ -283,8 +283,8 @@
     if (b->owned && b->owner_unconfirmed) {
       confirm_owner(*b);
     }
-    if (b->owned && b->load_pending) {
-      b->load_pending = false;
+    if (b->owned && b->load_retry_needed) {
+      b->load_retry_needed = false;
       take_ownership(*b, false);
     }
     if (b->owned && b->loaded) {
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -50,7 +50,7 @@
     if (read == nullptr || !read->owned) {
       return;
     }
-    read->load_pending = !ok;
+    read->load_retry_needed = !ok;
     if (ok) {
       self->load_owned_batch(id);
     }
@@ -66,7 +66,7 @@
     if (loaded == nullptr || !loaded->owned) {
       return;
     }
-    loaded->load_pending = !ok;
+    loaded->load_retry_needed = !ok;
     if (ok) {
       self->activate_owned_batch(id);
     }
@@ -84,7 +84,7 @@
     if (b == nullptr || !b->owned) {
       return;
     }
-    b->load_pending = !fenced;
+    b->load_retry_needed = !fenced;
     if (!fenced) {
       return;
     }
--- a/cactusford/batches/parts.h
+++ b/cactusford/batches/parts.h
@@ -1,5 +1,5 @@
 // Splits a submission into the parts in which it is stored, because a value in
-// the store is limited to a megabyte. Pure.
+// the store is limited to a megabyte. Does no I/O.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
--- a/cactusford/batches/placement.h
+++ b/cactusford/batches/placement.h
@@ -1,4 +1,4 @@
-// Chooses the entry that runs a newly submitted batch. Pure.
+// Chooses the entry that runs a newly submitted batch. Does no I/O.
 //
 // A trainer submits a step of one to two hundred items every few seconds, each
 // time at a different entry, and resubmits unfinished groups with the next
--- a/cactusford/batches/progress.h
+++ b/cactusford/batches/progress.h
@@ -1,5 +1,5 @@
 // Encodes the text of running items for the store, so that a run of several
-// seconds is not lost when its owner crashes. Pure.
+// seconds is not lost when its owner crashes. Does no I/O.
 #pragma once
 
 #include "cactusford/batches/event_reader.h"
--- a/cactusford/batches/schedule.cc
+++ b/cactusford/batches/schedule.cc
@@ -54,9 +54,9 @@
                 std::uint64_t hint,
                 std::uint64_t elapsed_ms)
 {
-  const auto whole =
+  const auto total =
     static_cast<std::uint64_t>(p.ms * static_cast<double>(hint));
-  const auto left = whole > elapsed_ms ? whole - elapsed_ms : 0;
+  const auto left = total > elapsed_ms ? total - elapsed_ms : 0;
   return std::max(left, elapsed_ms / 2);
 }
 
--- a/cactusford/batches/schedule.h
+++ b/cactusford/batches/schedule.h
@@ -1,4 +1,4 @@
-// Decides which waiting item starts next. Pure.
+// Decides which waiting item starts next. Does no I/O.
 //
 // Run lengths have a long tail: a few items of a step run five times as long as
 // the mean, up to nearly the whole time available, and a step ends with its
--- a/cactusford/batches/score_limit.h
+++ b/cactusford/batches/score_limit.h
@@ -1,9 +1,10 @@
-// Limits the number of scorer calls that an owner has in flight. Pure.
+// Limits the number of scorer calls that an owner has in flight. Does
+// no I/O.
 //
 // A hundred texts of a step are completed within half a second. Their scorer
 // calls of 80 ms each share 36 slots with callers whose answers are due in 150
 // ms. Sent all at once, many calls are refused and retried at one server after
-// the other, and callers are refused as well: in a day with 3,516 scored texts
+// the other, and callers are refused as well: on a day with 3,516 scored texts
 // the servers received 11,079 calls and refused 3,330, and one caller in four
 // was answered late. A text can wait some tenths of a second for its score.
 //
--- a/cactusford/batches/score_queue.h
+++ b/cactusford/batches/score_queue.h
@@ -1,4 +1,4 @@
-// Queue of texts that wait for their scorer call. Pure.
+// Queue of texts that wait for their scorer call. Does no I/O.
 //
 // When sixty texts of a step are to be scored and one of the calls is a poison
 // request, it crashes each server that runs it. If all waiting calls were sent
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -116,7 +116,7 @@
   // This instance owns the batch; and it has read all of its chunks.
   bool owned = false;
   bool loaded = false;
-  bool load_pending = false;
+  bool load_retry_needed = false;
   // The batch ended while this instance owned it and knew all of its chunks, so
   // no more results will be listed.
   bool complete = false;
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -243,28 +243,29 @@
 manager::impl::placement_view_for(const std::string& host,
                                   const std::string& target)
 {
-  placement_view v;
-  v.self = this_member();
-  v.largest_entries = deps.largest_entries();
-  v.now_ms = http::now_ms();
+  placement_view view;
+  view.self = this_member();
+  view.largest_entries = deps.largest_entries();
+  view.now_ms = http::now_ms();
   const auto route = route_to(host, target);
-  v.trainer = route == nullptr ? target : route->path_prefix;
+  view.trainer = route == nullptr ? target : route->path_prefix;
   for (const auto& [id, b] : batches) {
     const auto& s = b->stored;
     if (!b->is_open() || s.owner.empty()) {
       continue;
     }
     if (route == nullptr || route_to(s.host, s.target) != route) {
-      v.busy_instances.insert(s.owner);
+      view.busy_instances.insert(s.owner);
       continue;
     }
-    const auto seen = b->owned ? v.now_ms : owner_seen_at_ms[s.owner_address];
-    v.trainer_runners.push_back(
+    const auto seen =
+      b->owned ? view.now_ms : owner_seen_at_ms[s.owner_address];
+    view.trainer_runners.push_back(
       { { s.owner, s.owner_address, s.owner_capacity },
         s.accepted_wall_ms,
         seen });
   }
-  return v;
+  return view;
 }
 
 void
