--- a/cactusford/batches/manager.h
+++ b/cactusford/batches/manager.h
@@ -58,13 +58,13 @@
     return std::vector<membership::member>{};
   };
   // Null: no item is quarantined.
-  quarantine::manager* guard = nullptr;
+  quarantine::manager* quarantine_manager = nullptr;
 };
 
 class manager
 {
 public:
-  explicit manager(manager_dependencies parts);
+  explicit manager(manager_dependencies dependencies);
   ~manager();
 
   // Starts the periodic checks.
