--- a/cactusford/quarantine/suspicion.cc
+++ b/cactusford/quarantine/suspicion.cc
@@ -171,7 +171,8 @@
 // down a request, its second attempt and its repeats at other instances on
 // several servers at once, so simultaneous crashes count once. Crashes seen by
 // a single instance that sent the request from server to server each count,
-// however fast they follow each other.
+// however fast they follow each other, unless another server crashed at the
+// same time without the request.
 std::set<incarnation>
 independent_crashes(const fingerprint& request,
                     const std::map<incarnation, observed_crash>& own,
