--- a/soak/judge-test.cc
+++ b/soak/judge-test.cc
@@ -1,4 +1,4 @@
-#include "soak/judge.h"
+#include "soak/invariant_checker.h"
 
 #include "cactusford/testing/section.h"
 #include "soak/plan.h"
--- a/soak/world.h
+++ b/soak/world.h
@@ -5,7 +5,7 @@
 #include "cactusford/http/client.h"
 #include "cactusford/http/server.h"
 #include "soak/changes.h"
-#include "soak/judge.h"
+#include "soak/invariant_checker.h"
 #include "soak/plan.h"
 #include "soak/proxy.h"
 #include "standins/object_store.h"
