--- a/soak/changes-test.cc
+++ b/soak/changes-test.cc
@@ -1,4 +1,4 @@
-#include "soak/changes.h"
+#include "soak/change_checker.h"
 
 #include "cactusford/testing/section.h"
 
--- a/soak/changes.cc
+++ b/soak/changes.cc
@@ -1,4 +1,4 @@
-#include "soak/changes.h"
+#include "soak/change_checker.h"
 
 namespace cactusford::soak {
 
--- a/soak/world.h
+++ b/soak/world.h
@@ -4,7 +4,7 @@
 
 #include "cactusford/http/client.h"
 #include "cactusford/http/server.h"
-#include "soak/changes.h"
+#include "soak/change_checker.h"
 #include "soak/invariant_checker.h"
 #include "soak/plan.h"
 #include "soak/proxy.h"
