--- a/soak/main.cc
+++ b/soak/main.cc
@@ -1,6 +1,6 @@
 // cactusford-soak: entries as real processes under random faults, with the
 // promises checked while it runs.
-#include "soak/world.h"
+#include "soak/cluster.h"
 
 #include <popt.h>
 
--- a/soak/world.cc
+++ b/soak/world.cc
@@ -1,4 +1,4 @@
-#include "soak/world.h"
+#include "soak/cluster.h"
 
 #include "cactusford/http/socket.h"
 #include "standins/child.h"
