--- a/tests/failure-test.cc
+++ b/tests/failure-test.cc
@@ -138,7 +138,7 @@
     load.service = "orders-app";
     load.booking_callers = 3;
     load.repeats = 40;
-    bench::load callers{ load };
+    bench::load_generator callers{ load };
     callers.start();
     auto names = fleet.entries();
     for (const auto* serves : { "orders-app", "planner-lm", "scorer" }) {
