--- a/soak/change_checker-test.cc
+++ b/soak/change_checker-test.cc
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr change_bounds bounds{ 2000, 250 };
+constexpr change_limits limits{ 2000, 250 };
 
-// Version 1 is confirmed at 0 ms, version 2 at 5,000 ms.
-change_judge
-with_two_versions()
+// Version 1 is confirmed at 0 ms and version 2 at 5,000 ms.
+change_checker
+make_checker()
 {
-  change_judge j{ bounds };
-  j.on_confirmed(1, 0);
-  j.on_confirmed(2, 5000);
-  return j;
+  change_checker checker{ limits };
+  checker.on_confirmed(1, 0);
+  checker.on_confirmed(2, 5000);
+  return checker;
 }
 
 probe
@@ -27,66 +27,66 @@
 }
 
 probe
-denied(std::uint64_t version, std::uint64_t sent_ms)
+not_found(std::uint64_t version, std::uint64_t sent_ms)
 {
   return { "entry", 1, version, sent_ms, sent_ms + 5, false, true };
 }
 
 } // namespace
 
-Test(change_judge, is_content_with_changes_in_time)
+Test(change_checker, accepts_timely_changes)
 {
-  auto j = with_two_versions();
-  j.on_answer(served(1, 4000));
-  j.on_answer(denied(2, 6999));
-  j.on_answer(served(1, 6999));
-  j.on_answer(served(2, 7100));
-  j.on_answer(denied(1, 7200));
-  cr_assert_eq(j.violations().size(), 0);
+  auto checker = make_checker();
+  checker.on_answer(served(1, 4000));
+  checker.on_answer(not_found(2, 6999));
+  checker.on_answer(served(1, 6999));
+  checker.on_answer(served(2, 7100));
+  checker.on_answer(not_found(1, 7200));
+  cr_assert_eq(checker.violations().size(), 0);
 }
 
-// Guards against a soak that passes although entries serve late.
-Test(change_judge, sees_a_change_that_is_late)
+// Guards against a soak test that passes although entries adopt changes late.
+Test(change_checker, reports_a_late_change)
 {
-  auto j = with_two_versions();
-  j.on_answer(denied(2, 7001));
-  cr_assert_eq(j.violations().size(), 1);
-  SECTION("and a route that should be gone")
+  auto checker = make_checker();
+  checker.on_answer(not_found(2, 7001));
+  cr_assert_eq(checker.violations().size(), 1);
+  SECTION("a removed route that is still served")
   {
-    j.on_answer(served(1, 7001));
-    cr_assert_eq(j.violations().size(), 2);
+    checker.on_answer(served(1, 7001));
+    cr_assert_eq(checker.violations().size(), 2);
   }
-  SECTION("but not of a disturbed entry")
+  SECTION("a disturbed entry is exempt")
   {
-    auto p = denied(2, 8000);
+    auto p = not_found(2, 8000);
     p.was_undisturbed = false;
-    j.on_answer(p);
-    cr_assert_eq(j.violations().size(), 2);
+    checker.on_answer(p);
+    cr_assert_eq(checker.violations().size(), 2);
   }
-  SECTION("nor when the next version came meanwhile")
+  SECTION("a newer version was confirmed before the response")
   {
-    j.on_confirmed(3, 8002);
-    j.on_answer(denied(2, 8000));
-    cr_assert_eq(j.violations().size(), 2);
+    checker.on_confirmed(3, 8002);
+    checker.on_answer(not_found(2, 8000));
+    cr_assert_eq(checker.violations().size(), 2);
   }
 }
 
-// Guards against a soak that passes although an entry goes back.
-Test(change_judge, sees_an_older_version_come_back)
+// Guards against a soak test that passes although an entry reverts.
+Test(change_checker, reports_a_return_to_an_older_version)
 {
-  change_judge j{ { 0, 250 } };
-  j.on_confirmed(1, 0);
-  j.on_confirmed(2, 5000);
-  j.on_answer(served(2, 5100));
-  j.on_answer(served(1, 5200));
-  cr_assert_eq(j.violations().size(), 0, "sent before the slack was over");
-  j.on_answer(served(1, 5400));
-  cr_assert_eq(j.violations().size(), 1);
-  SECTION("another process of the entry starts anew")
+  change_checker checker{ { 0, 250 } };
+  checker.on_confirmed(1, 0);
+  checker.on_confirmed(2, 5000);
+  checker.on_answer(served(2, 5100));
+  checker.on_answer(served(1, 5200));
+  cr_assert_eq(checker.violations().size(), 0, "sent within the slack");
+  checker.on_answer(served(1, 5400));
+  cr_assert_eq(checker.violations().size(), 1);
+  SECTION("a new process of the entry may start with an older version")
   {
     auto p = served(1, 9000);
-    p.life = 2;
-    j.on_answer(p);
-    cr_assert_eq(j.violations().size(), 1);
+    p.incarnation = 2;
+    checker.on_answer(p);
+    cr_assert_eq(checker.violations().size(), 1);
   }
 }
--- a/soak/change_checker.h
+++ b/soak/change_checker.h
@@ -1,8 +1,9 @@
-// Checks that changes of the configuration come into force in time and never go
-// back, from what callers of single entries see. Pure.
+// Checks that each configuration change takes effect in time and that no entry
+// reverts to an older version, judged by the responses of single entries. Does
+// no I/O.
 //
-// Version v alone has a route of its own: an entry that serves it has v in
-// force, one that answers 404 has another version.
+// Each version has a route that no other version has: an entry that serves it
+// has that version in force, and one that answers 404 has another version.
 #pragma once
 
 #include <cstdint>
@@ -13,49 +14,51 @@
 
 namespace cactusford::soak {
 
-struct change_bounds
+struct change_limits
 {
-  // A change is in force everywhere this long after its confirmation, at
-  // entries without disturbance; 0: not checked.
+  // Longest time from the confirmation of a change until every undisturbed
+  // entry has it in force. 0 disables the check.
   std::uint64_t in_force_ms = 0;
-  // A request this much later than one that saw a version sees no older one.
-  std::uint64_t back_slack_ms = 250;
+  // Requests sent less than this long after a response may still see an older
+  // version than that response did.
+  std::uint64_t regression_slack_ms = 250;
 };
 
-// What a caller got from one entry for the route of one version.
+// The response of one entry to a request for the route of one version.
 struct probe
 {
   std::string entry;
-  // Which process of that entry.
-  std::uint64_t life = 0;
+  // Counts the processes that the entry has had.
+  std::uint64_t incarnation = 0;
   std::uint64_t version = 0;
   std::uint64_t sent_ms = 0;
   std::uint64_t answered_ms = 0;
   bool is_served = false;
-  // From long before it was sent until its answer.
+  // No fault affected the entry from well before the request was sent until it
+  // was answered.
   bool was_undisturbed = false;
 };
 
-class change_judge
+class change_checker
 {
 public:
-  explicit change_judge(change_bounds b = {})
-    : bounds_{ b }
+  explicit change_checker(change_limits b = {})
+    : limits_{ b }
   {
   }
 
-  // The store has confirmed the next version.
+  // Records that the store has confirmed the write of a version.
   void on_confirmed(std::uint64_t version, std::uint64_t now_ms);
 
   void on_answer(const probe& p);
 
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t probes() const { return probes_; }
-  std::size_t undisturbed() const { return undisturbed_; }
+  std::size_t undisturbed_probes() const { return undisturbed_probes_; }
 
 private:
-  // The newest version that a process has shown, and when.
-  struct shown
+  // The newest version that a process has served, and the time of the response.
+  struct seen_version
   {
     std::uint64_t version = 0;
     std::uint64_t at_ms = 0;
@@ -63,14 +66,14 @@
 
   bool is_due(std::uint64_t version, std::uint64_t sent_ms) const;
   bool was_newest(const probe& p) const;
-  void broken(const std::string& rule, const probe& p);
+  void add_violation(const std::string& rule, const probe& p);
 
-  change_bounds bounds_;
+  change_limits limits_;
   std::map<std::uint64_t, std::uint64_t> confirmed_ms_;
-  std::map<std::pair<std::string, std::uint64_t>, shown> shown_;
+  std::map<std::pair<std::string, std::uint64_t>, seen_version> newest_seen_;
   std::vector<std::string> violations_;
   std::size_t probes_ = 0;
-  std::size_t undisturbed_ = 0;
+  std::size_t undisturbed_probes_ = 0;
 };
 
 } // namespace cactusford::soak
--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -21,35 +21,36 @@
 
 using nlohmann::json;
 
-// The work: each trainer has a step of some groups open, and calls that may run
-// once come all the time.
-constexpr std::size_t items_of_step = 8;
-constexpr std::size_t items_of_group = 2;
-constexpr std::uint64_t event_gap_ms = 15;
-constexpr std::uint64_t call_gap_ms = 40;
-constexpr std::uint64_t read_pause_ms = 200;
-constexpr std::uint64_t send_pause_ms = 150;
-constexpr std::uint64_t answer_limit_ms = 3000;
-
-// The configuration changes this often; each entry is asked for the routes of
-// the newest version and of the one before.
-constexpr std::uint64_t change_pause_ms = 3100;
-constexpr std::uint64_t change_after_fault_ms = 50;
-constexpr std::uint64_t probe_pause_ms = 250;
-
-// Probes may run more than once, other calls may not.
+// The workload: each trainer has one step of several groups open, and
+// non-idempotent calls arrive continuously.
+constexpr std::size_t items_per_step = 8;
+constexpr std::size_t items_per_group = 2;
+constexpr std::uint64_t event_interval_ms = 15;
+constexpr std::uint64_t call_interval_ms = 40;
+constexpr std::uint64_t read_interval_ms = 200;
+constexpr std::uint64_t retry_interval_ms = 150;
+constexpr std::uint64_t request_timeout_ms = 3000;
+
+// Intervals of configuration changes and of probes. A probe asks each entry for
+// the routes of the newest version and of the one before.
+constexpr std::uint64_t change_interval_ms = 3100;
+constexpr std::uint64_t change_delay_after_fault_ms = 50;
+constexpr std::uint64_t probe_interval_ms = 250;
+
+// Prefix of the ids of probes, which may run more than once. Other calls must
+// not.
 constexpr std::string_view probe_prefix = "probe-";
 
-// An entry that was disturbed may be late for so long.
-constexpr std::uint64_t contact_ms = 3000;
+// After a fault, an entry may adopt changes late for this long.
+constexpr std::uint64_t recovery_ms = 3000;
 
-// After the last fault: the longest time in which everything must be whole.
-constexpr std::uint64_t wind_up_ms = 25000;
+// Longest time after the last fault until all accepted work is complete.
+constexpr std::uint64_t drain_limit_ms = 25000;
 
-// A share of the steps is ended by its trainer before it is whole, and some
-// trainers give up after refusals.
-constexpr std::uint64_t early_end_of = 4;
-constexpr std::uint64_t give_up_of = 3;
+// One of this many steps, on average, is deleted by its trainer before it is
+// complete, and a trainer gives up after one of this many refusals.
+constexpr std::uint64_t steps_per_early_end = 4;
+constexpr std::uint64_t refusals_per_give_up = 3;
 
 std::string
 address_of(std::uint16_t port)
@@ -57,10 +58,10 @@
   return "127.0.0.1:" + std::to_string(port);
 }
 
-// Ports that are free now, held until all others of this process are bound.
-// They are below those that the system gives out by itself: while an entry is
-// down, its port must not become that of some other program, such as another
-// soak, to which its peers would then talk.
+// Finds free ports and keeps them bound until the other ports of this process
+// are bound. They lie below the ephemeral port range: while an entry is down,
+// no other program, such as another soak test, may get its port, because the
+// peers of the entry would then talk to that program.
 class reserved_ports
 {
 public:
@@ -76,73 +77,75 @@
     using asio::ip::tcp;
     for (;;) {
       const tcp::endpoint at{ asio::ip::address_v4::loopback(), next_++ };
-      tcp::acceptor a{ io_, at.protocol() };
+      tcp::acceptor acceptor{ io_, at.protocol() };
       asio::error_code ec;
-      a.bind(at, ec);
+      acceptor.bind(at, ec);
       if (!ec) {
-        held_.push_back(std::move(a));
+        acceptors_.push_back(std::move(acceptor));
         return address_of(at.port());
       }
     }
   }
 
 private:
-  // A block of ports for each process, so that soaks side by side keep apart.
+  // Each process uses a block of its own, so that soak tests that run at the
+  // same time do not collide.
   static constexpr unsigned first_port = 10000;
   static constexpr unsigned block = 100;
   static constexpr unsigned blocks = 200;
 
   asio::io_context& io_;
   std::uint16_t next_;
-  std::vector<asio::ip::tcp::acceptor> held_;
+  std::vector<asio::ip::tcp::acceptor> acceptors_;
 };
 
 } // namespace
 
-struct world::entry
+struct cluster::entry
 {
   std::string name;
-  std::string callers;
-  std::string peer;
-  std::string settings;
-  std::unique_ptr<proxy> to_store;
+  std::string callers_address;
+  std::string peer_address;
+  std::string settings_file;
+  std::unique_ptr<proxy> store_proxy;
   pid_t pid = 0;
-  // It is to be started again when it has ended.
-  bool wanted = true;
+  // The entry is restarted after its process has exited.
+  bool should_run = true;
   std::uint64_t start_at_ms = 0;
-  std::uint64_t life = 0;
-  // Faults under way, and when the last one began or ended, or it started.
-  int faults = 0;
-  std::uint64_t calm_since_ms = 0;
+  std::uint64_t incarnation = 0;
+  // Active faults, and the time when the last one began or ended or the process
+  // was started.
+  int active_faults = 0;
+  std::uint64_t undisturbed_since_ms = 0;
 };
 
-struct world::engine
+struct cluster::engine
 {
   engine(asio::io_context& io, const std::string& id)
-    : real{ io, id }
-    , link{ io, real.address() }
+    : standin{ io, id }
+    , engine_proxy{ io, standin.address() }
   {
-    real.events = item_events;
-    real.gap_ms = event_gap_ms;
+    standin.events = events_per_item;
+    standin.gap_ms = event_interval_ms;
   }
 
-  standins::stream_engine real;
-  proxy link;
-  std::size_t runs_judged = 0;
+  standins::stream_engine standin;
+  proxy engine_proxy;
+  std::size_t runs_checked = 0;
 };
 
-struct world::trainer
+struct cluster::trainer
 {
   std::string batch;
   std::string body;
-  std::size_t next = 0;
-  // Every answer so far says that nothing runs.
+  std::size_t next_position = 0;
+  // Every attempt so far was refused or not sent, so nothing runs.
   bool only_refused = true;
-  int sends = 0;
-  bool idle = true;
+  int send_attempts = 0;
+  bool is_idle = true;
 };
 
-world::world(soak_options o)
+cluster::cluster(soak_options o)
   : options_{ std::move(o) }
   , random_{ options_.plan.seed }
   , changes_{ { options_.in_force_ms } }
@@ -154,28 +157,29 @@
                 const auto id =
                   std::string{ http::find(fields, "Id").value_or("") };
                 if (!id.starts_with(probe_prefix)) {
-                  judge_.on_call_run(id);
+                  invariants_.on_call_run(id);
                 }
                 c.respond({ 200,
                             { { "Id", id }, { "Signature", "sig-" + id } },
                             "answer-" + id });
               } }
-  , callers_{ io_ }
-  , probers_{ io_ }
+  , call_client_{ io_ }
+  , probe_client_{ io_ }
 {
   std::filesystem::create_directories(options_.folder);
   service_.listen("127.0.0.1:0");
   store_.faults = [this](const store::call& c) {
     using fault = standins::object_store::fault;
-    constexpr std::uint64_t lost_of = 3;
-    const bool write = c.op != store::operation::watch &&
-                       c.op != store::operation::list &&
-                       c.op != store::operation::get;
-    if (refusing_) {
+    constexpr std::uint64_t writes_per_lost_response = 3;
+    const bool is_write = c.op != store::operation::watch &&
+                          c.op != store::operation::list &&
+                          c.op != store::operation::get;
+    if (store_refuses_) {
       return fault::refuse;
     }
-    const bool lose = losing_ && write && random_() % lost_of == 0;
-    return lose ? fault::lose_answer : fault::none;
+    const bool loses_response = store_loses_responses_ && is_write &&
+                                random_() % writes_per_lost_response == 0;
+    return loses_response ? fault::lose_answer : fault::none;
   };
   reserved_ports ports{ io_ };
   for (std::size_t i = 0; i < options_.plan.engines; ++i) {
@@ -185,18 +189,18 @@
   for (std::size_t i = 0; i < options_.plan.entries; ++i) {
     auto e = std::make_unique<entry>();
     e->name = "entry-" + std::to_string(i);
-    e->callers = ports.next();
-    e->peer = ports.next();
-    e->to_store = std::make_unique<proxy>(io_, store_.address());
+    e->callers_address = ports.next();
+    e->peer_address = ports.next();
+    e->store_proxy = std::make_unique<proxy>(io_, store_.address());
     entries_.push_back(std::move(e));
   }
   for (std::size_t i = 0; i < options_.trainers; ++i) {
     trainers_.push_back(std::make_unique<trainer>());
   }
   change_configuration();
-  const auto announce = [&](const std::string& id,
-                            const char* service,
-                            const std::string& address) {
+  const auto add_backend = [&](const std::string& id,
+                               const char* service,
+                               const std::string& address) {
     constexpr int slots = 64;
     store_.put("backends",
                id,
@@ -206,14 +210,15 @@
                  { "version", 1 } });
   };
   for (std::size_t i = 0; i < engines_.size(); ++i) {
-    announce(
-      "engine-" + std::to_string(i), "engines", engines_[i]->link.address());
+    add_backend("engine-" + std::to_string(i),
+                "engines",
+                engines_[i]->engine_proxy.address());
   }
-  announce("scorer", "scorers", engines_[0]->real.address());
-  announce("service", "calls", address_of(service_.port()));
+  add_backend("scorer", "scorers", engines_[0]->standin.address());
+  add_backend("service", "calls", address_of(service_.port()));
 }
 
-world::~world()
+cluster::~cluster()
 {
   for (auto& e : entries_) {
     if (e->pid != 0) {
@@ -236,76 +241,78 @@
 }
 
 std::string
-name_of_version(std::uint64_t version)
+version_route_name(std::uint64_t version)
 {
   return "version-" + std::to_string(version);
 }
 
 } // namespace
 
-// Each version adds a route of its own and takes that of the last one away.
+// Publishes a new version, which adds a route of its own and removes that of
+// the version before.
 void
-world::change_configuration()
+cluster::change_configuration()
 {
   using routes::call_kind;
   ++version_;
-  store_.put(
-    "configuration",
-    "main",
-    { { "version", version_ },
-      { "routes",
-        { route("b", "engines", call_kind::rollout),
-          route("score", "scorers", call_kind::idempotent),
-          route("call", "calls", call_kind::non_idempotent),
-          route(
-            name_of_version(version_), "calls", call_kind::idempotent) } } });
+  store_.put("configuration",
+             "main",
+             { { "version", version_ },
+               { "routes",
+                 { route("b", "engines", call_kind::rollout),
+                   route("score", "scorers", call_kind::idempotent),
+                   route("call", "calls", call_kind::non_idempotent),
+                   route(version_route_name(version_),
+                         "calls",
+                         call_kind::idempotent) } } });
   changes_.on_confirmed(version_, http::now_ms());
 }
 
 bool
-world::is_undisturbed(const entry& e) const
+cluster::is_undisturbed(const entry& e) const
 {
   const auto now = http::now_ms();
-  return e.pid != 0 && e.faults == 0 && store_faults_ == 0 &&
-         now - e.calm_since_ms >= contact_ms &&
-         now - store_calm_since_ms_ >= contact_ms;
+  return e.pid != 0 && e.active_faults == 0 && store_faults_ == 0 &&
+         now - e.undisturbed_since_ms >= recovery_ms &&
+         now - store_undisturbed_since_ms_ >= recovery_ms;
 }
 
 void
-world::probe_entry(std::size_t i, std::uint64_t version)
+cluster::probe_entry(std::size_t i, std::uint64_t version)
 {
   auto& e = *entries_[i];
   const auto id = std::string{ probe_prefix } + std::to_string(next_id_++);
   const http::request r{ "GET",
-                         "/" + name_of_version(version) + "/x",
+                         "/" + version_route_name(version) + "/x",
                          { { "Host", "h" }, { "Id", id } },
                          "" };
   http::exchange_options o;
-  o.timeout_ms = answer_limit_ms;
+  o.timeout_ms = request_timeout_ms;
   const bool was_undisturbed = is_undisturbed(e);
-  probe p{ e.name, e.life, version, http::now_ms(), 0, false, false };
-  probers_.fetch(e.callers,
-                 r,
-                 o,
-                 [this, &e, p, was_undisturbed](http::end_state end,
-                                                http::response&& a) mutable {
-                   constexpr int ok = 200;
-                   constexpr int missing = 404;
-                   if (end != http::end_state::complete || e.life != p.life ||
-                       (a.status != ok && a.status != missing)) {
-                     return;
-                   }
-                   p.answered_ms = http::now_ms();
-                   p.is_served = a.status == ok;
-                   p.was_undisturbed = was_undisturbed && is_undisturbed(e);
-                   changes_.on_answer(p);
-                 });
+  probe p{ e.name, e.incarnation, version, http::now_ms(), 0, false, false };
+  probe_client_.fetch(
+    e.callers_address,
+    r,
+    o,
+    [this, &e, p, was_undisturbed](http::end_state end,
+                                   http::response&& response) mutable {
+      constexpr int ok = 200;
+      constexpr int missing = 404;
+      if (end != http::end_state::complete || e.incarnation != p.incarnation ||
+          (response.status != ok && response.status != missing)) {
+        return;
+      }
+      p.answered_ms = http::now_ms();
+      p.is_served = response.status == ok;
+      p.was_undisturbed = was_undisturbed && is_undisturbed(e);
+      changes_.on_answer(p);
+    });
 }
 
 void
-world::probe_entries()
+cluster::probe_entries()
 {
-  if (winding_up_) {
+  if (is_draining_) {
     return;
   }
   for (std::size_t i = 0; i < entries_.size(); ++i) {
@@ -317,113 +324,114 @@
       probe_entry(i, version_ - 1);
     }
   }
-  after(probe_pause_ms, [this] { probe_entries(); });
+  run_after(probe_interval_ms, [this] { probe_entries(); });
 }
 
 void
-world::note_disturbance(const fault& f, int begins)
+cluster::track_fault(const fault& f, int delta)
 {
   const auto now = http::now_ms();
-  const bool of_store = f.kind >= fault_kind::refuse_store;
-  const bool of_engine =
+  const bool is_store_fault = f.kind >= fault_kind::refuse_store;
+  const bool is_engine_fault =
     f.kind >= fault_kind::delay_engine && f.kind <= fault_kind::silence_engine;
-  if (of_store) {
-    store_faults_ += begins;
-    store_calm_since_ms_ = now;
+  if (is_store_fault) {
+    store_faults_ += delta;
+    store_undisturbed_since_ms_ = now;
   }
-  if (of_store || of_engine) {
+  if (is_store_fault || is_engine_fault) {
     return;
   }
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     const bool is_target = i == f.target % entries_.size();
     if (is_target || f.kind == fault_kind::kill_all) {
-      entries_[i]->faults += begins;
-      entries_[i]->calm_since_ms = now;
+      entries_[i]->active_faults += delta;
+      entries_[i]->undisturbed_since_ms = now;
     }
   }
 }
 
 void
-world::write_settings(entry& e)
+cluster::write_settings(entry& e)
 {
   json peers = json::array();
   constexpr std::size_t relays = 3;
   for (std::size_t i = 0; i < std::min(relays, entries_.size()); ++i) {
-    peers.push_back(entries_[i]->peer);
+    peers.push_back(entries_[i]->peer_address);
   }
-  e.settings = options_.folder + "/" + e.name + ".json";
-  std::ofstream{ e.settings } << json{
+  e.settings_file = options_.folder + "/" + e.name + ".json";
+  std::ofstream{ e.settings_file } << json{
     { "instance", e.name },
     { "data_centre", "a" },
-    { "callers", e.callers },
-    { "peer", e.peer },
-    { "store", e.to_store->address() },
+    { "callers", e.callers_address },
+    { "peer", e.peer_address },
+    { "store", e.store_proxy->address() },
     { "grace_s", 3 },
     { "peers", peers }
   }.dump();
 }
 
 void
-world::start(entry& e)
+cluster::start(entry& e)
 {
   write_settings(e);
-  ++e.life;
-  e.calm_since_ms = http::now_ms();
+  ++e.incarnation;
+  e.undisturbed_since_ms = http::now_ms();
   e.pid =
-    standins::spawn_program({ options_.program, "--settings", e.settings },
+    standins::spawn_program({ options_.program, "--settings", e.settings_file },
                             options_.folder + "/" + e.name + ".log");
 }
 
-// Entries that ended are started again when it is time.
+// Restarts exited entries when their downtime is over, and passes new engine
+// runs to the checker.
 void
-world::note_exits()
+cluster::poll_processes()
 {
   const auto now = http::now_ms();
   for (auto& e : entries_) {
     if (e->pid != 0 && waitpid(e->pid, nullptr, WNOHANG) == e->pid) {
       e->pid = 0;
     }
-    if (e->pid == 0 && e->wanted && now >= e->start_at_ms) {
+    if (e->pid == 0 && e->should_run && now >= e->start_at_ms) {
       start(*e);
     }
   }
   for (auto& e : engines_) {
-    for (; e->runs_judged < e->real.runs.size(); ++e->runs_judged) {
-      judge_.on_run(e->real.runs[e->runs_judged].item, now);
+    for (; e->runs_checked < e->standin.runs.size(); ++e->runs_checked) {
+      invariants_.on_run(e->standin.runs[e->runs_checked].item, now);
     }
   }
 }
 
 void
-world::after(std::uint64_t ms, std::function<void()> run)
+cluster::run_after(std::uint64_t ms, std::function<void()> action)
 {
   auto t =
     std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{ ms });
-  t->async_wait([t, run = std::move(run)](asio::error_code ec) {
+  t->async_wait([t, action = std::move(action)](asio::error_code ec) {
     if (!ec) {
-      run();
+      action();
     }
   });
 }
 
 void
-world::apply(const fault& f)
+cluster::apply(const fault& f)
 {
-  ++faults_;
-  note_disturbance(f, 1);
+  ++applied_faults_;
+  track_fault(f, 1);
   std::printf("soak: at_ms=%lu for_ms=%lu fault=%s target=%zu\n",
               static_cast<unsigned long>(f.at_ms),
-              static_cast<unsigned long>(f.for_ms),
+              static_cast<unsigned long>(f.duration_ms),
               std::string{ name_of(f.kind) }.c_str(),
               f.target);
   const auto signal_entry = [&](entry& e, int number) {
     if (e.pid != 0) {
       kill(e.pid, number);
     }
-    e.start_at_ms = http::now_ms() + f.for_ms;
+    e.start_at_ms = http::now_ms() + f.duration_ms;
   };
   auto& e = *entries_[f.target % entries_.size()];
-  auto& link = engines_[f.target % engines_.size()]->link;
+  auto& engine_proxy = engines_[f.target % engines_.size()]->engine_proxy;
   switch (f.kind) {
     case fault_kind::kill_entry:
       signal_entry(e, SIGKILL);
@@ -443,34 +451,34 @@
       }
       break;
     case fault_kind::delay_store:
-      e.to_store->set(harm::delay);
+      e.store_proxy->set_fault(link_fault::delay);
       break;
     case fault_kind::reset_store:
-      e.to_store->set(harm::reset);
+      e.store_proxy->set_fault(link_fault::reset);
       break;
     case fault_kind::cut_store_one_way:
-      e.to_store->set(harm::one_way);
+      e.store_proxy->set_fault(link_fault::one_way);
       break;
     case fault_kind::silence_store:
-      e.to_store->set(harm::silence);
+      e.store_proxy->set_fault(link_fault::blackhole);
       break;
     case fault_kind::delay_engine:
-      link.set(harm::delay);
+      engine_proxy.set_fault(link_fault::delay);
       break;
     case fault_kind::reset_engine:
-      link.set(harm::reset);
+      engine_proxy.set_fault(link_fault::reset);
       break;
     case fault_kind::cut_engine_one_way:
-      link.set(harm::one_way);
+      engine_proxy.set_fault(link_fault::one_way);
       break;
     case fault_kind::silence_engine:
-      link.set(harm::silence);
+      engine_proxy.set_fault(link_fault::blackhole);
       break;
     case fault_kind::refuse_store:
-      refusing_ = true;
+      store_refuses_ = true;
       break;
     case fault_kind::lose_answers:
-      losing_ = true;
+      store_loses_responses_ = true;
       break;
     case fault_kind::compact_store:
       store_.compact();
@@ -479,9 +487,9 @@
 }
 
 void
-world::heal(const fault& f)
+cluster::heal(const fault& f)
 {
-  note_disturbance(f, -1);
+  track_fault(f, -1);
   auto& e = *entries_[f.target % entries_.size()];
   switch (f.kind) {
     case fault_kind::pause_entry:
@@ -493,183 +501,187 @@
     case fault_kind::reset_store:
     case fault_kind::cut_store_one_way:
     case fault_kind::silence_store:
-      e.to_store->set(harm::none);
+      e.store_proxy->set_fault(link_fault::none);
       break;
     case fault_kind::delay_engine:
     case fault_kind::reset_engine:
     case fault_kind::cut_engine_one_way:
     case fault_kind::silence_engine:
-      engines_[f.target % engines_.size()]->link.set(harm::none);
+      engines_[f.target % engines_.size()]->engine_proxy.set_fault(
+        link_fault::none);
       break;
     case fault_kind::refuse_store:
-      refusing_ = false;
+      store_refuses_ = false;
       break;
     case fault_kind::lose_answers:
-      losing_ = false;
+      store_loses_responses_ = false;
       break;
     default:
       break;
   }
 }
 
-world::entry&
-world::any_entry()
+cluster::entry&
+cluster::random_entry()
 {
   return *entries_[random_() % entries_.size()];
 }
 
-// A new step. Trainers send again until some entry has taken it, or give up
-// after refusals alone.
+// Starts a new step. The trainer sends it again until an entry accepts it, and
+// may give up only if every attempt was refused.
 void
-world::submit(trainer& t)
+cluster::start_step(trainer& t)
 {
-  if (winding_up_) {
-    t.idle = true;
+  if (is_draining_) {
+    t.is_idle = true;
     return;
   }
   t = {};
-  t.idle = false;
+  t.is_idle = false;
   t.batch = "batch-" + std::to_string(next_id_++);
   json j{ { "model", "m" }, { "min_version", 1 }, { "items", json::array() } };
   std::set<std::string> items;
-  for (std::size_t i = 0; i < items_of_step; ++i) {
+  for (std::size_t i = 0; i < items_per_step; ++i) {
     const auto id = t.batch + "-" + std::to_string(i);
     items.insert(id);
     j["items"].push_back(
       { { "id", id },
-        { "group", t.batch + "g" + std::to_string(i / items_of_group) },
+        { "group", t.batch + "g" + std::to_string(i / items_per_group) },
         { "scorer", "score-" + id } });
   }
   t.body = j.dump();
-  judge_.on_sent(t.batch, items);
+  invariants_.on_sent(t.batch, items);
   send_batch(t);
 }
 
 void
-world::send_batch(trainer& t)
+cluster::send_batch(trainer& t)
 {
-  ++t.sends;
+  ++t.send_attempts;
   const http::request r{
     "POST", "/b/", { { "Host", "h" }, { "Id", t.batch } }, t.body
   };
   http::exchange_options o;
-  o.timeout_ms = answer_limit_ms;
-  callers_.fetch(
-    any_entry().callers,
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
     r,
     o,
-    [this, &t](http::end_state end, http::response&& a) {
+    [this, &t](http::end_state end, http::response&& response) {
       constexpr int accepted = 202;
       constexpr int refused = 503;
-      if (end == http::end_state::complete && a.status == accepted) {
-        judge_.on_accepted(t.batch);
-        read(t);
+      if (end == http::end_state::complete && response.status == accepted) {
+        invariants_.on_accepted(t.batch);
+        read_results(t);
         return;
       }
       const bool not_run =
         end == http::end_state::not_sent ||
-        (end == http::end_state::complete && a.status == refused);
+        (end == http::end_state::complete && response.status == refused);
       t.only_refused = t.only_refused && not_run;
-      const bool gives_up = t.only_refused && random_() % give_up_of == 0;
-      if (gives_up || (winding_up_ && t.only_refused)) {
-        judge_.on_refused(t.batch);
-        submit(t);
+      const bool gives_up =
+        t.only_refused && random_() % refusals_per_give_up == 0;
+      if (gives_up || (is_draining_ && t.only_refused)) {
+        invariants_.on_refused(t.batch);
+        start_step(t);
         return;
       }
-      after(send_pause_ms, [this, &t] {
-        if (!over_) {
+      run_after(retry_interval_ms, [this, &t] {
+        if (!has_finished_) {
           send_batch(t);
         }
       });
     });
 }
 
-// From where it is, and now and then from the start.
+// Reads from the current position and sometimes from the start again.
 void
-world::read(trainer& t)
+cluster::read_results(trainer& t)
 {
-  const auto from = random_() % 4 == 0 ? 0 : t.next;
-  const auto asked = http::now_ms();
+  const auto from = random_() % 4 == 0 ? 0 : t.next_position;
+  const auto asked_ms = http::now_ms();
   const http::request r{ "GET",
                          "/batches/" + t.batch +
                            "?after=" + std::to_string(from) + "&wait=500",
                          { { "Host", "h" } },
                          "" };
   http::exchange_options o;
-  o.timeout_ms = answer_limit_ms;
-  callers_.fetch(
-    any_entry().callers,
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
     r,
     o,
-    [this, &t, from, asked](http::end_state end, http::response&& a) {
+    [this, &t, from, asked_ms](http::end_state end, http::response&& response) {
       constexpr int ok = 200;
       constexpr int missing = 404;
-      if (over_) {
+      if (has_finished_) {
         return;
       }
-      if (end == http::end_state::complete && a.status == missing) {
-        judge_.on_missing(t.batch, asked);
+      if (end == http::end_state::complete && response.status == missing) {
+        invariants_.on_missing(t.batch, asked_ms);
       }
-      const auto page = json::parse(a.body, nullptr, false);
-      if (end == http::end_state::complete && a.status == ok &&
+      const auto page = json::parse(response.body, nullptr, false);
+      if (end == http::end_state::complete && response.status == ok &&
           page.is_object()) {
-        std::vector<seen_result> results;
+        std::vector<observed_result> results;
         for (const auto& x : page.at("results")) {
           results.push_back(
             { x.at("id"), x.at("done"), x.at("text"), x.at("score") });
         }
-        judge_.on_page(t.batch, asked, http::now_ms(), from, results);
-        t.next = judge_.shown(t.batch);
+        invariants_.on_page(t.batch, asked_ms, http::now_ms(), from, results);
+        t.next_position = invariants_.results_seen(t.batch);
       }
-      const bool early = !winding_up_ && t.next > 0 &&
-                         random_() % (early_end_of * items_of_step) == 0;
-      if (t.next == items_of_step || early) {
+      const bool ends_early =
+        !is_draining_ && t.next_position > 0 &&
+        random_() % (steps_per_early_end * items_per_step) == 0;
+      if (t.next_position == items_per_step || ends_early) {
         end_batch(t);
         return;
       }
-      after(read_pause_ms, [this, &t] {
-        if (!over_) {
-          read(t);
+      run_after(read_interval_ms, [this, &t] {
+        if (!has_finished_) {
+          read_results(t);
         }
       });
     });
 }
 
 void
-world::end_batch(trainer& t)
+cluster::end_batch(trainer& t)
 {
   const http::request r{
     "DELETE", "/batches/" + t.batch, { { "Host", "h" } }, ""
   };
   http::exchange_options o;
-  o.timeout_ms = answer_limit_ms;
-  callers_.fetch(any_entry().callers,
-                 r,
-                 o,
-                 [this, &t](http::end_state end, http::response&& a) {
-                   constexpr int ok = 200;
-                   if (over_) {
-                     return;
-                   }
-                   if (end == http::end_state::complete && a.status == ok) {
-                     judge_.on_ended(t.batch, http::now_ms());
-                     submit(t);
-                     return;
-                   }
-                   after(send_pause_ms, [this, &t] {
-                     if (!over_) {
-                       end_batch(t);
-                     }
-                   });
-                 });
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
+    r,
+    o,
+    [this, &t](http::end_state end, http::response&& response) {
+      constexpr int ok = 200;
+      if (has_finished_) {
+        return;
+      }
+      if (end == http::end_state::complete && response.status == ok) {
+        invariants_.on_ended(t.batch, http::now_ms());
+        start_step(t);
+        return;
+      }
+      run_after(retry_interval_ms, [this, &t] {
+        if (!has_finished_) {
+          end_batch(t);
+        }
+      });
+    });
 }
 
-// A call that may run once at most, over connections that stay open until the
-// process is gone.
+// Sends a non-idempotent call, over connections that stay open until the
+// process exits.
 void
-world::call_plain()
+cluster::send_call()
 {
-  if (winding_up_) {
+  if (is_draining_) {
     return;
   }
   const auto id = "call-" + std::to_string(next_id_++);
@@ -677,85 +689,88 @@
     "POST", "/call/x", { { "Host", "h" }, { "Id", id } }, "hold"
   };
   http::exchange_options o;
-  o.timeout_ms = answer_limit_ms;
-  callers_.fetch(
-    any_entry().callers,
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
     r,
     o,
-    [this, id](http::end_state end, http::response&& a) {
+    [this, id](http::end_state end, http::response&& response) {
       if (end == http::end_state::complete) {
         const auto signature =
-          std::string{ http::find(a.fields, "Signature").value_or("") };
-        judge_.on_call_answer(id, a.status, a.body, signature);
+          std::string{ http::find(response.fields, "Signature").value_or("") };
+        invariants_.on_call_answer(
+          id, response.status, response.body, signature);
       }
     });
-  after(call_gap_ms, [this] { call_plain(); });
+  run_after(call_interval_ms, [this] { send_call(); });
 }
 
 void
-world::run_for(std::uint64_t ms)
+cluster::run_for(std::uint64_t ms)
 {
   const auto until = http::now_ms() + ms;
   while (http::now_ms() < until) {
     io_.run_one_for(std::chrono::milliseconds{ 10 });
     io_.poll();
-    note_exits();
+    poll_processes();
   }
 }
 
 bool
-world::all_work_done() const
+cluster::all_work_done() const
 {
-  return std::all_of(
-    trainers_.begin(), trainers_.end(), [](const auto& t) { return t->idle; });
+  return std::all_of(trainers_.begin(), trainers_.end(), [](const auto& t) {
+    return t->is_idle;
+  });
 }
 
-// Regularly, or just after a path to the store was harmed: that is when a
-// change may be learned late.
+// Schedules changes at regular intervals or, with `only_store_paths`, just
+// after each fault on a connection to the store, when a change may be learned
+// late.
 void
-world::plan_changes()
+cluster::schedule_changes()
 {
   const auto change_at = [this](std::uint64_t at_ms) {
-    after(at_ms, [this] { change_configuration(); });
+    run_after(at_ms, [this] { change_configuration(); });
   };
   if (options_.plan.only_store_paths) {
     for (const auto& f : make_plan(options_.plan)) {
-      change_at(f.at_ms + change_after_fault_ms);
+      change_at(f.at_ms + change_delay_after_fault_ms);
     }
     return;
   }
-  for (auto at = change_pause_ms; at < options_.plan.length_ms;
-       at += change_pause_ms) {
+  for (auto at = change_interval_ms; at < options_.plan.length_ms;
+       at += change_interval_ms) {
     change_at(at);
   }
 }
 
 void
-world::play()
+cluster::run()
 {
-  constexpr std::uint64_t start_ms = 800;
-  constexpr std::uint64_t look_ms = 100;
-  run_for(start_ms);
+  constexpr std::uint64_t startup_ms = 800;
+  constexpr std::uint64_t poll_interval_ms = 100;
+  run_for(startup_ms);
   for (auto& t : trainers_) {
-    submit(*t);
+    start_step(*t);
   }
-  call_plain();
+  send_call();
   probe_entries();
-  plan_changes();
-  std::uint64_t last = options_.plan.length_ms;
+  schedule_changes();
+  std::uint64_t last_end_ms = options_.plan.length_ms;
   for (const auto& f : make_plan(options_.plan)) {
-    after(f.at_ms, [this, f] { apply(f); });
-    after(f.at_ms + f.for_ms, [this, f] { heal(f); });
-    last = std::max(last, f.at_ms + f.for_ms);
+    run_after(f.at_ms, [this, f] { apply(f); });
+    run_after(f.at_ms + f.duration_ms, [this, f] { heal(f); });
+    last_end_ms = std::max(last_end_ms, f.at_ms + f.duration_ms);
   }
-  run_for(last + look_ms);
-  winding_up_ = true;
-  const auto limit = http::now_ms() + wind_up_ms;
-  while (!all_work_done() && http::now_ms() < limit) {
-    run_for(look_ms);
+  run_for(last_end_ms + poll_interval_ms);
+  is_draining_ = true;
+  const auto deadline = http::now_ms() + drain_limit_ms;
+  while (!all_work_done() && http::now_ms() < deadline) {
+    run_for(poll_interval_ms);
   }
-  over_ = true;
-  judge_.finish();
+  has_finished_ = true;
+  invariants_.finish();
 }
 
 } // namespace cactusford::soak
--- a/soak/cluster.h
+++ b/soak/cluster.h
@@ -1,5 +1,6 @@
-// The systems around the entries and the entries themselves: stand-ins in this
-// process, entries as processes of their own, a proxy on each connection.
+// A test cluster: each entry is a process of its own, the store, the engines
+// and the service are stand-ins in this process, and proxies inject faults
+// between the entries and the store and between the entries and the engines.
 #pragma once
 
 #include "cactusford/http/client.h"
@@ -23,28 +24,30 @@
 struct soak_options
 {
   plan_options plan;
-  // The entry program, and where logs go.
+  // Path of the entry program, and the folder for settings and logs.
   std::string program;
   std::string folder;
   std::size_t trainers = 3;
-  // For how late a change may be; 0: only that none goes back is checked.
+  // Longest time until a change is in force. With 0, only reverted changes are
+  // violations.
   std::uint64_t in_force_ms = 0;
 };
 
-class world
+class cluster
 {
 public:
-  explicit world(soak_options o);
-  ~world();
-  world(const world&) = delete;
-  world& operator=(const world&) = delete;
+  explicit cluster(soak_options o);
+  ~cluster();
+  cluster(const cluster&) = delete;
+  cluster& operator=(const cluster&) = delete;
 
-  // Plays the plan, heals everything, and waits for what was accepted.
-  void play();
+  // Injects the planned faults, ends them all, and waits until the accepted
+  // work is complete.
+  void run();
 
-  const judge& seen() const { return judge_; }
-  const change_judge& changes() const { return changes_; }
-  std::size_t faults() const { return faults_; }
+  const invariant_checker& invariants() const { return invariants_; }
+  const change_checker& changes() const { return changes_; }
+  std::size_t applied_faults() const { return applied_faults_; }
 
 private:
   struct entry;
@@ -53,47 +56,47 @@
 
   void write_settings(entry& e);
   void start(entry& e);
-  void note_exits();
+  void poll_processes();
   void apply(const fault& f);
   void heal(const fault& f);
-  void after(std::uint64_t ms, std::function<void()> run);
+  void run_after(std::uint64_t ms, std::function<void()> action);
   void run_for(std::uint64_t ms);
   bool all_work_done() const;
 
-  void submit(trainer& t);
+  void start_step(trainer& t);
   void send_batch(trainer& t);
-  void read(trainer& t);
+  void read_results(trainer& t);
   void end_batch(trainer& t);
-  void call_plain();
-  void plan_changes();
+  void send_call();
+  void schedule_changes();
   void change_configuration();
   void probe_entries();
   void probe_entry(std::size_t i, std::uint64_t version);
-  void note_disturbance(const fault& f, int begins);
+  void track_fault(const fault& f, int delta);
   bool is_undisturbed(const entry& e) const;
-  entry& any_entry();
+  entry& random_entry();
 
   soak_options options_;
   asio::io_context io_;
   std::mt19937_64 random_;
-  judge judge_;
-  change_judge changes_;
+  invariant_checker invariants_;
+  change_checker changes_;
   standins::object_store store_;
   std::vector<std::unique_ptr<engine>> engines_;
   http::server service_;
-  http::client callers_;
+  http::client call_client_;
   std::vector<std::unique_ptr<entry>> entries_;
   std::vector<std::unique_ptr<trainer>> trainers_;
-  http::client probers_;
+  http::client probe_client_;
   std::uint64_t version_ = 0;
-  // Faults of the store under way, and when the last one began or ended.
+  // Active faults of the store, and the time when the last one began or ended.
   int store_faults_ = 0;
-  std::uint64_t store_calm_since_ms_ = 0;
-  bool refusing_ = false;
-  bool losing_ = false;
-  bool winding_up_ = false;
-  bool over_ = false;
-  std::size_t faults_ = 0;
+  std::uint64_t store_undisturbed_since_ms_ = 0;
+  bool store_refuses_ = false;
+  bool store_loses_responses_ = false;
+  bool is_draining_ = false;
+  bool has_finished_ = false;
+  std::size_t applied_faults_ = 0;
   std::uint64_t next_id_ = 1;
 };
 
--- a/soak/edge.cc
+++ b/soak/edge.cc
@@ -1,5 +1,5 @@
-// The entry program with the wire of the stand-ins: all but the names on the
-// wire is what runs on the users' platform.
+// The entry program with the wire format of the stand-ins. Apart from the names
+// on the wire, this is the code that runs on the users' platform.
 #include "cactusford/edge/hosted.h"
 #include "standins/object_store.h"
 
--- a/soak/invariant_checker-test.cc
+++ b/soak/invariant_checker-test.cc
@@ -10,97 +10,108 @@
 
 namespace {
 
-seen_result
-whole(const std::string& item)
+observed_result
+complete_result(const std::string& item)
 {
   return { item,
            true,
-           cactusford::standins::stream_engine::text_of(item, item_events),
+           cactusford::standins::stream_engine::text_of(item, events_per_item),
            "sig-score-" + item };
 }
 
-judge
-with_batch()
+invariant_checker
+make_checker()
 {
-  judge j;
-  j.on_sent("b", { "x", "y" });
-  j.on_accepted("b");
-  return j;
+  invariant_checker checker;
+  checker.on_sent("b", { "x", "y" });
+  checker.on_accepted("b");
+  return checker;
 }
 
 } // namespace
 
-Test(judge, is_content_with_a_batch_that_is_whole)
+Test(invariant_checker, accepts_a_complete_batch)
 {
-  auto j = with_batch();
-  j.on_run("x", 5);
-  j.on_page("b", 10, 12, 0, { whole("x") });
-  j.on_page("b", 20, 22, 1, { whole("y") });
-  j.on_page("b", 5000, 5001, 0, { whole("x"), whole("y") });
-  j.on_ended("b", 5002);
-  j.finish();
-  cr_assert(j.violations().empty());
+  auto checker = make_checker();
+  checker.on_run("x", 5);
+  checker.on_page("b", 10, 12, 0, { complete_result("x") });
+  checker.on_page("b", 20, 22, 1, { complete_result("y") });
+  checker.on_page(
+    "b", 5000, 5001, 0, { complete_result("x"), complete_result("y") });
+  checker.on_ended("b", 5002);
+  checker.finish();
+  cr_assert(checker.violations().empty());
 }
 
-// Each promise, broken on purpose: a judge that can't fail proves nothing.
-Test(judge, sees_each_broken_promise)
+// Violates each guarantee on purpose: a checker that cannot fail proves
+// nothing.
+Test(invariant_checker, reports_each_violation)
 {
-  const auto broken = [](auto&& act) {
-    auto j = with_batch();
-    act(j);
-    return j.violations().size();
+  const auto count_violations = [](auto&& observe) {
+    auto checker = make_checker();
+    observe(checker);
+    return checker.violations().size();
   };
-  cr_assert_eq(broken([](judge& j) { j.finish(); }), 1, "not whole");
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_page("b", 1, 2, 0, { whole("x"), whole("x") });
+  cr_assert_eq(
+    count_violations([](invariant_checker& checker) { checker.finish(); }),
+    1,
+    "incomplete batch");
+  cr_assert_eq(
+    count_violations([](invariant_checker& checker) {
+      checker.on_page(
+        "b", 1, 2, 0, { complete_result("x"), complete_result("x") });
+    }),
+    1,
+    "item listed twice");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 auto truncated = complete_result("x");
+                 truncated.text.pop_back();
+                 checker.on_page("b", 1, 2, 0, { truncated });
                }),
                1,
-               "twice");
-  cr_assert_eq(broken([](judge& j) {
-                 auto cut = whole("x");
-                 cut.text.pop_back();
-                 j.on_page("b", 1, 2, 0, { cut });
+               "truncated text");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_page("b", 1, 2, 0, { complete_result("x") });
+                 checker.on_page("b", 1500, 1501, 0, { complete_result("y") });
                }),
                1,
-               "cut short");
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_page("b", 1, 2, 0, { whole("x") });
-                 j.on_page("b", 1500, 1501, 0, { whole("y") });
+               "changed result at a position");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_page("b", 1, 2, 0, { complete_result("x") });
+                 checker.on_page("b", 1500, 1501, 0, {});
                }),
                1,
-               "another result at a position");
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_page("b", 1, 2, 0, { whole("x") });
-                 j.on_page("b", 1500, 1501, 0, {});
+               "known result not returned");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_ended("b", 10);
+                 checker.on_run("x", 4000);
                }),
                1,
-               "denied");
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_ended("b", 10);
-                 j.on_run("x", 4000);
+               "ran after its batch was deleted");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_refused("b");
+                 checker.on_run("x", 4000);
                }),
                1,
-               "ran after its end");
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_refused("b");
-                 j.on_run("x", 4000);
+               "ran although refused");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_missing("b", 1);
                }),
-               1,
-               "ran though refused");
-  cr_assert_eq(broken([](judge& j) { j.on_missing("b", 1); }), 1);
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_call_run("c");
-                 j.on_call_run("c");
+               1);
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_call_run("c");
+                 checker.on_call_run("c");
                }),
                1);
-  cr_assert_eq(broken([](judge& j) {
-                 j.on_call_answer("c", 503, "", "");
-                 j.on_call_run("c");
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_call_answer("c", 503, "", "");
+                 checker.on_call_run("c");
+               }),
+               1);
+  cr_assert_eq(count_violations([](invariant_checker& checker) {
+                 checker.on_call_answer("c", 200, "answer-d", "sig-d");
                }),
                1);
-  cr_assert_eq(
-    broken([](judge& j) { j.on_call_answer("c", 200, "answer-d", "sig-d"); }),
-    1);
 }
 
 Test(plan, is_the_same_for_the_same_seed)
--- a/soak/invariant_checker.cc
+++ b/soak/invariant_checker.cc
@@ -8,174 +8,180 @@
 
 namespace {
 
-// A position that one reader got must be there for all this much later, and an
-// ended batch must not run any more after the second: docs/SOAK.md.
-constexpr std::uint64_t settle_ms = 1000;
-constexpr std::uint64_t cancel_ms = 3000;
+// Once one reader has received a position, every reader must get it after the
+// first limit. After the second, no item of a deleted batch may start. See
+// docs/SOAK.md.
+constexpr std::uint64_t visibility_limit_ms = 1000;
+constexpr std::uint64_t cancel_limit_ms = 3000;
 
 } // namespace
 
 void
-judge::broken(const std::string& rule, const std::string& what)
+invariant_checker::add_violation(const std::string& rule,
+                                 const std::string& what)
 {
   violations_.push_back(rule + ": " + what);
 }
 
 void
-judge::on_sent(const std::string& id, const std::set<std::string>& items)
+invariant_checker::on_sent(const std::string& id,
+                           const std::set<std::string>& items)
 {
   auto& b = batches_[id];
   b.items = items;
   for (const auto& i : items) {
-    batch_of_[i] = id;
+    batch_by_item_[i] = id;
   }
 }
 
 void
-judge::on_accepted(const std::string& id)
+invariant_checker::on_accepted(const std::string& id)
 {
   batches_[id].accepted = true;
 }
 
 void
-judge::on_refused(const std::string& id)
+invariant_checker::on_refused(const std::string& id)
 {
   batches_[id].refused = true;
 }
 
 void
-judge::check_result(const std::string& id, const seen_result& r)
+invariant_checker::check_result(const std::string& id, const observed_result& r)
 {
   ++results_;
   if (!batches_[id].items.contains(r.item)) {
-    broken("mixed", id + " lists " + r.item);
+    add_violation("mixed", id + " contains the foreign item " + r.item);
   }
   if (!r.done) {
-    broken("lost", r.item + " was given up");
+    add_violation("lost", r.item + " was abandoned");
     return;
   }
-  if (r.text != standins::stream_engine::text_of(r.item, item_events)) {
-    broken("whole", r.item + " has another text");
+  if (r.text != standins::stream_engine::text_of(r.item, events_per_item)) {
+    add_violation("whole", r.item + " has the wrong text");
   }
   if (r.score != "sig-score-" + r.item) {
-    broken("mixed", r.item + " has the score " + r.score);
+    add_violation("mixed", r.item + " has the wrong score " + r.score);
   }
 }
 
 void
-judge::on_page(const std::string& id,
-               std::uint64_t asked_ms,
-               std::uint64_t now_ms,
-               std::size_t after,
-               const std::vector<seen_result>& page)
+invariant_checker::on_page(const std::string& id,
+                           std::uint64_t asked_ms,
+                           std::uint64_t now_ms,
+                           std::size_t after,
+                           const std::vector<observed_result>& page)
 {
-  auto& all = batches_[id].positions;
+  auto& positions = batches_[id].positions;
   for (std::size_t n = 0; n < page.size(); ++n) {
     const auto at = after + n;
-    if (at < all.size()) {
-      if (!(all[at].result == page[n])) {
-        broken("once", id + " changed position " + std::to_string(at));
+    if (at < positions.size()) {
+      if (!(positions[at].result == page[n])) {
+        add_violation(
+          "once", id + " changed the result at position " + std::to_string(at));
       }
       continue;
     }
-    const bool twice =
-      std::any_of(all.begin(), all.end(), [&](const position& p) {
+    const bool is_duplicate =
+      std::any_of(positions.begin(), positions.end(), [&](const position& p) {
         return p.result.item == page[n].item;
       });
-    if (twice) {
-      broken("once", page[n].item + " stands at two positions");
+    if (is_duplicate) {
+      add_violation("once", page[n].item + " is at two positions");
     }
     check_result(id, page[n]);
-    all.push_back({ page[n], now_ms });
+    positions.push_back({ page[n], now_ms });
   }
   const auto end = after + page.size();
-  const bool denied = page.empty() && end < all.size() &&
-                      asked_ms > all[end].first_seen_ms + settle_ms;
-  if (denied) {
-    broken("lost", id + " has nothing at position " + std::to_string(end));
+  const bool is_missing =
+    page.empty() && end < positions.size() &&
+    asked_ms > positions[end].first_seen_ms + visibility_limit_ms;
+  if (is_missing) {
+    add_violation(
+      "lost", id + " returned no result at position " + std::to_string(end));
   }
 }
 
 void
-judge::on_missing(const std::string& id, std::uint64_t /*asked_ms*/)
+invariant_checker::on_missing(const std::string& id, std::uint64_t /*asked_ms*/)
 {
   if (batches_[id].accepted) {
-    broken("lost", id + " is unknown");
+    add_violation("lost", id + " was accepted, but is not found");
   }
 }
 
 void
-judge::on_ended(const std::string& id, std::uint64_t now_ms)
+invariant_checker::on_ended(const std::string& id, std::uint64_t now_ms)
 {
   auto& b = batches_[id];
   b.ended_ms = b.ended_ms == 0 ? now_ms : b.ended_ms;
 }
 
 void
-judge::on_run(const std::string& item, std::uint64_t now_ms)
+invariant_checker::on_run(const std::string& item, std::uint64_t now_ms)
 {
-  const auto found = batch_of_.find(item);
-  if (found == batch_of_.end()) {
-    broken("unasked", item + " was never sent");
+  const auto found = batch_by_item_.find(item);
+  if (found == batch_by_item_.end()) {
+    add_violation("unasked", item + " ran, but was never sent");
     return;
   }
   const auto& b = batches_[found->second];
   if (b.refused) {
-    broken("refused", item + " ran");
+    add_violation("refused", item + " ran, but its batch was refused");
   }
-  if (b.ended_ms != 0 && now_ms > b.ended_ms + cancel_ms) {
-    broken("unasked", item + " ran after the end of its batch");
+  if (b.ended_ms != 0 && now_ms > b.ended_ms + cancel_limit_ms) {
+    add_violation("unasked", item + " ran after its batch was deleted");
   }
 }
 
 void
-judge::on_call_answer(const std::string& id,
-                      int status,
-                      const std::string& body,
-                      const std::string& signature)
+invariant_checker::on_call_answer(const std::string& id,
+                                  int status,
+                                  const std::string& body,
+                                  const std::string& signature)
 {
   constexpr int ok = 200;
   constexpr int unavailable = 503;
   if (status == ok) {
     ++calls_answered_;
     if (body != "answer-" + id || signature != "sig-" + id) {
-      broken("mixed", id + " got the answer " + body);
+      add_violation("mixed", id + " got the wrong response " + body);
     }
   }
   if (status == unavailable) {
     calls_refused_.insert(id);
     if (call_runs_.contains(id)) {
-      broken("refused", id + " had run");
+      add_violation("refused", id + " was refused, but had run");
     }
   }
 }
 
 void
-judge::on_call_run(const std::string& id)
+invariant_checker::on_call_run(const std::string& id)
 {
   if (++call_runs_[id] > 1) {
-    broken("twice", id + " ran again");
+    add_violation("twice", id + " ran more than once");
   }
   if (calls_refused_.contains(id)) {
-    broken("refused", id + " ran later");
+    add_violation("refused", id + " was refused, but ran later");
   }
 }
 
 std::size_t
-judge::shown(const std::string& id) const
+invariant_checker::results_seen(const std::string& id) const
 {
   const auto found = batches_.find(id);
   return found == batches_.end() ? 0 : found->second.positions.size();
 }
 
 void
-judge::finish()
+invariant_checker::finish()
 {
   for (const auto& [id, b] : batches_) {
     if (b.accepted && b.ended_ms == 0 && b.positions.size() != b.items.size()) {
-      broken("lost",
-             id + " has " + std::to_string(b.positions.size()) + " of " +
-               std::to_string(b.items.size()) + " results");
+      add_violation("lost",
+                    id + " has " + std::to_string(b.positions.size()) + " of " +
+                      std::to_string(b.items.size()) + " results");
     }
   }
 }
--- a/soak/invariant_checker.h
+++ b/soak/invariant_checker.h
@@ -1,4 +1,5 @@
-// The promises, checked from what callers and backend servers see. Pure.
+// Checks the guarantees of the service from what callers and backend servers
+// observe. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,55 +10,59 @@
 
 namespace cactusford::soak {
 
-// A result as a reader got it.
-struct seen_result
+// A result as a reader received it.
+struct observed_result
 {
   std::string item;
   bool done = false;
   std::string text;
   std::string score;
 
-  friend bool operator==(const seen_result&, const seen_result&) = default;
+  friend bool operator==(const observed_result&,
+                         const observed_result&) = default;
 };
 
-class judge
+class invariant_checker
 {
 public:
-  // A batch was sent with these items, and got 202 somewhere.
+  // Records that a batch with these items is sent, and that an entry accepted
+  // it with 202.
   void on_sent(const std::string& batch, const std::set<std::string>& items);
   void on_accepted(const std::string& batch);
 
-  // Its sender gave up after nothing but refusals that say "not run".
+  // Records that the sender gave up and every response said that nothing runs.
   void on_refused(const std::string& batch);
 
-  // A reader asked at `asked_ms` from position `after` and got these.
+  // Records the results that a reader received when it asked at `asked_ms` for
+  // those from position `after` on.
   void on_page(const std::string& batch,
                std::uint64_t asked_ms,
                std::uint64_t now_ms,
                std::size_t after,
-               const std::vector<seen_result>& page);
+               const std::vector<observed_result>& page);
 
-  // A reader that asked at `asked_ms` was told that there is no such batch.
+  // Records that a reader that asked at `asked_ms` got 404.
   void on_missing(const std::string& batch, std::uint64_t asked_ms);
 
-  // Its end was acknowledged.
+  // Records that the deletion of the batch was acknowledged.
   void on_ended(const std::string& batch, std::uint64_t now_ms);
 
-  // An engine began a run of an item.
+  // Records that an engine started a run of an item.
   void on_run(const std::string& item, std::uint64_t now_ms);
 
-  // A call that may run once at most got this answer; an empty body stands for
-  // no answer.
+  // Records the response to a non-idempotent call, which must run at most once.
+  // An empty body stands for no response.
   void on_call_answer(const std::string& id,
                       int status,
                       const std::string& body,
                       const std::string& signature);
   void on_call_run(const std::string& id);
 
-  // Positions of a batch that were shown.
-  std::size_t shown(const std::string& batch) const;
+  // Returns how many results of a batch readers have received.
+  std::size_t results_seen(const std::string& batch) const;
 
-  // When all is over: what was accepted and not ended must be whole.
+  // Checks at the end that every batch that was accepted and not deleted has
+  // all its results.
   void finish();
 
   const std::vector<std::string>& violations() const { return violations_; }
@@ -68,7 +73,7 @@
 private:
   struct position
   {
-    seen_result result;
+    observed_result result;
     std::uint64_t first_seen_ms = 0;
   };
   struct batch
@@ -81,11 +86,11 @@
     std::vector<position> positions;
   };
 
-  void broken(const std::string& rule, const std::string& what);
-  void check_result(const std::string& id, const seen_result& r);
+  void add_violation(const std::string& rule, const std::string& what);
+  void check_result(const std::string& id, const observed_result& r);
 
   std::map<std::string, batch> batches_;
-  std::map<std::string, std::string> batch_of_;
+  std::map<std::string, std::string> batch_by_item_;
   std::map<std::string, int> call_runs_;
   std::set<std::string> calls_refused_;
   std::vector<std::string> violations_;
@@ -93,7 +98,7 @@
   std::size_t calls_answered_ = 0;
 };
 
-// Events that every item of the soak has.
-constexpr std::uint64_t item_events = 30;
+// Events that an engine streams for each item.
+constexpr std::uint64_t events_per_item = 30;
 
 } // namespace cactusford::soak
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -1,5 +1,5 @@
-// cactusford-soak: entries as real processes under random faults, with the
-// promises checked while it runs.
+// cactusford-soak: runs entries as real processes under random faults and
+// checks the guarantees of the service meanwhile.
 #include "soak/cluster.h"
 
 #include <popt.h>
@@ -21,7 +21,7 @@
   int in_force_ms = 0;
   int only_store_paths = 0;
   std::string folder = "soak-logs";
-  std::string wrong;
+  std::string error;
 };
 
 command_line
@@ -30,38 +30,50 @@
   command_line c;
   char* folder = nullptr;
   const poptOption options[] = {
-    { "seed", 0, POPT_ARG_INT, &c.seed, 0, "the first seed", "N" },
+    { "seed", 0, POPT_ARG_INT, &c.seed, 0, "seed of the first run", "N" },
     { "seeds",
       0,
       POPT_ARG_INT,
       &c.seeds,
       0,
-      "how many, one after the other",
+      "number of runs, with consecutive seeds",
       "N" },
     { "seconds",
       0,
       POPT_ARG_INT,
       &c.seconds,
       0,
-      "of faults, for each seed",
+      "duration of the fault phase of each run",
       "S" },
-    { "entries", 0, POPT_ARG_INT, &c.entries, 0, "entry processes", "N" },
-    { "engines", 0, POPT_ARG_INT, &c.engines, 0, "stand-ins of engines", "N" },
+    { "entries",
+      0,
+      POPT_ARG_INT,
+      &c.entries,
+      0,
+      "number of entry processes",
+      "N" },
+    { "engines",
+      0,
+      POPT_ARG_INT,
+      &c.engines,
+      0,
+      "number of stand-in engines",
+      "N" },
     { "in-force-ms",
       0,
       POPT_ARG_INT,
       &c.in_force_ms,
       0,
-      "how late a change may be in force; 0: not checked",
+      "limit until a change is in force; 0: not checked",
       "MS" },
     { "only-store-paths",
       0,
       POPT_ARG_NONE,
       &c.only_store_paths,
       0,
-      "only pauses of entries and harm on their paths to the store",
+      "only pause entries and disturb their connections to the store",
       nullptr },
-    { "folder", 0, POPT_ARG_STRING, &folder, 0, "where the logs go", "PATH" },
+    { "folder", 0, POPT_ARG_STRING, &folder, 0, "folder for the logs", "PATH" },
     POPT_AUTOHELP POPT_TABLEEND
   };
   const poptContext context =
@@ -72,7 +84,7 @@
                    0);
   const int rc = poptGetNextOpt(context);
   if (rc < -1) {
-    c.wrong =
+    c.error =
       std::string{ poptBadOption(context, 0) } + ": " + poptStrerror(rc);
   }
   poptFreeContext(context);
@@ -82,15 +94,15 @@
   }
   if (c.seeds < 1 || c.seconds < 1 || c.entries < 2 || c.engines < 1 ||
       c.in_force_ms < 0) {
-    c.wrong = "--seeds, --seconds and --engines take 1 or more, --entries 2, "
-              "--in-force-ms 0";
+    c.error = "--seeds, --seconds and --engines must be at least 1, --entries "
+              "at least 2, --in-force-ms at least 0";
   }
   return c;
 }
 
-// True when every promise was kept.
+// Returns true if no guarantee was violated.
 bool
-play(const command_line& c, int seed, const std::string& program)
+run_seed(const command_line& c, int seed, const std::string& program)
 {
   using namespace cactusford::soak;
   constexpr std::uint64_t ms_per_second = 1000;
@@ -103,26 +115,27 @@
   o.plan.only_store_paths = c.only_store_paths != 0;
   o.program = program;
   o.folder = c.folder + "/seed-" + std::to_string(seed);
-  world w{ o };
-  w.play();
-  auto broken = w.seen().violations();
-  const auto& late = w.changes().violations();
-  broken.insert(broken.end(), late.begin(), late.end());
-  for (const auto& v : broken) {
+  cluster test_cluster{ o };
+  test_cluster.run();
+  auto violations = test_cluster.invariants().violations();
+  const auto& change_violations = test_cluster.changes().violations();
+  violations.insert(
+    violations.end(), change_violations.begin(), change_violations.end());
+  for (const auto& v : violations) {
     std::printf("soak: seed=%d broken=\"%s\"\n", seed, v.c_str());
   }
-  const bool kept = broken.empty();
+  const bool passed = violations.empty();
   std::printf("soak: seed=%d verdict=%s faults=%zu results=%zu calls=%zu "
               "probes=%zu undisturbed=%zu\n",
               seed,
-              kept ? "kept" : "broken",
-              w.faults(),
-              w.seen().results(),
-              w.seen().calls_answered(),
-              w.changes().probes(),
-              w.changes().undisturbed());
+              passed ? "kept" : "broken",
+              test_cluster.applied_faults(),
+              test_cluster.invariants().results(),
+              test_cluster.invariants().calls_answered(),
+              test_cluster.changes().probes(),
+              test_cluster.changes().undisturbed_probes());
   std::fflush(stdout);
-  return kept;
+  return passed;
 }
 
 } // namespace
@@ -131,17 +144,17 @@
 main(int argc, char** argv)
 {
   const auto c = parse(argc, argv);
-  if (!c.wrong.empty()) {
-    std::fprintf(stderr, "%s\n", c.wrong.c_str());
+  if (!c.error.empty()) {
+    std::fprintf(stderr, "%s\n", c.error.c_str());
     return 2;
   }
   std::signal(SIGPIPE, SIG_IGN);
   const auto self = std::filesystem::canonical("/proc/self/exe");
   const auto program = (self.parent_path() / "cactusford-soak-edge").string();
-  int broken = 0;
+  int failed_seeds = 0;
   for (int seed = c.seed; seed < c.seed + c.seeds; ++seed) {
-    broken += play(c, seed, program) ? 0 : 1;
+    failed_seeds += run_seed(c, seed, program) ? 0 : 1;
   }
-  std::printf("soak: seeds=%d broken=%d\n", c.seeds, broken);
-  return broken == 0 ? 0 : 1;
+  std::printf("soak: seeds=%d broken=%d\n", c.seeds, failed_seeds);
+  return failed_seeds == 0 ? 0 : 1;
 }
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,4 +1,4 @@
-// The faults of one soak run, drawn from its seed. Pure.
+// The schedule of faults of one soak run, derived from its seed.
 #pragma once
 
 #include <cstddef>
@@ -10,31 +10,32 @@
 
 enum class fault_kind
 {
-  // Signals to an entry: SIGKILL and a start later, SIGTERM and a start,
-  // SIGSTOP and SIGCONT, SIGHUP.
+  // Signals to one entry, in this order: SIGKILL and a later restart, SIGTERM
+  // and a later restart, SIGSTOP and a later SIGCONT, SIGHUP.
   kill_entry,
   stop_entry,
   pause_entry,
   reload_entry,
-  // SIGKILL to all entries.
+  // SIGKILL to all entries, and a later restart.
   kill_all,
-  // The connections of an entry to the store.
+  // Faults on the connections of one entry to the store.
   delay_store,
   reset_store,
   cut_store_one_way,
   silence_store,
-  // The connections to an engine.
+  // Faults on the connections to one engine.
   delay_engine,
   reset_engine,
   cut_engine_one_way,
   silence_engine,
-  // The store itself: refuses all, loses answers, forgets its history.
+  // Faults of the store: it refuses all calls, loses responses of writes, or
+  // compacts its history.
   refuse_store,
   lose_answers,
   compact_store,
 };
 
-constexpr std::size_t fault_kinds = 16;
+constexpr std::size_t fault_kind_count = 16;
 
 std::string_view
 name_of(fault_kind k) noexcept;
@@ -42,10 +43,10 @@
 struct fault
 {
   fault_kind kind = fault_kind::kill_entry;
-  // Which entry or engine, where it concerns one.
+  // Index of the entry or engine, for faults that affect only one.
   std::size_t target = 0;
   std::uint64_t at_ms = 0;
-  std::uint64_t for_ms = 0;
+  std::uint64_t duration_ms = 0;
 
   friend bool operator==(const fault&, const fault&) = default;
 };
@@ -56,12 +57,14 @@
   std::uint64_t length_ms = 20000;
   std::size_t entries = 4;
   std::size_t engines = 3;
-  // Only pauses of entries and harm on their paths to the store, and fewer: the
-  // others are calm meanwhile, and must learn changes in time.
+  // Restricts the faults to pauses of entries and to their connections to the
+  // store, and makes them rarer. The other entries are undisturbed meanwhile
+  // and must learn of changes in time.
   bool only_store_paths = false;
 };
 
-// In the order of their beginning. They come in series and overlap.
+// Returns the faults in the order of their start. Some come in series, and they
+// overlap.
 std::vector<fault>
 make_plan(const plan_options& o);
 
--- a/soak/proxy.cc
+++ b/soak/proxy.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t chunk_bytes = 16U << 10;
 
 void
-reset(tcp::socket& s)
+reset_connection(tcp::socket& s)
 {
   asio::error_code ignored;
   s.set_option(asio::socket_base::linger{ true, 0 }, ignored);
@@ -26,45 +26,46 @@
 
 } // namespace
 
-// Both halves of a connection. Bytes that silence held up are gone, as after a
-// partition whose sender gave up.
-struct proxy::pair : std::enable_shared_from_this<pair>
+// A client connection and its upstream connection. Bytes that a blackhole drops
+// are lost for good, as after a partition during which the sender gave up.
+struct proxy::connection : std::enable_shared_from_this<connection>
 {
-  pair(proxy& o, tcp::socket near, asio::io_context& io)
-    : owner{ o }
-    , sides{ std::move(near), tcp::socket{ io } }
-    , pause{ asio::steady_timer{ io }, asio::steady_timer{ io } }
+  connection(proxy& parent_proxy, tcp::socket client, asio::io_context& io)
+    : parent{ parent_proxy }
+    , sockets{ std::move(client), tcp::socket{ io } }
+    , timers{ asio::steady_timer{ io }, asio::steady_timer{ io } }
   {
   }
 
-  // Reads from side `from` and writes to the other.
+  // Reads from socket `from` and writes to the other one.
   void pump(std::size_t from)
   {
-    sides[from].async_read_some(
+    sockets[from].async_read_some(
       asio::buffer(buffers[from]),
       [self = shared_from_this(), from](asio::error_code ec, std::size_t n) {
         if (ec) {
           self->close();
           return;
         }
-        self->pass(from, n);
+        self->forward(from, n);
       });
   }
 
-  void pass(std::size_t from, std::size_t bytes)
+  void forward(std::size_t from, std::size_t bytes)
   {
-    const auto h = owner.harm_;
+    const auto fault = parent.fault_;
     constexpr std::size_t upstream = 1;
-    if (h == harm::silence || (h == harm::one_way && from == upstream)) {
-      broken = true;
+    if (fault == link_fault::blackhole ||
+        (fault == link_fault::one_way && from == upstream)) {
+      has_dropped_bytes = true;
     }
-    if (broken) {
+    if (has_dropped_bytes) {
       pump(from);
       return;
     }
-    const auto wait = h == harm::delay ? delay_ms : 0;
-    pause[from].expires_after(std::chrono::milliseconds{ wait });
-    pause[from].async_wait(
+    const auto wait_ms = fault == link_fault::delay ? delay_ms : 0;
+    timers[from].expires_after(std::chrono::milliseconds{ wait_ms });
+    timers[from].async_wait(
       [self = shared_from_this(), from, bytes](asio::error_code ec) {
         if (!ec) {
           self->write(from, bytes);
@@ -75,7 +76,7 @@
   void write(std::size_t from, std::size_t bytes)
   {
     asio::async_write(
-      sides[1 - from],
+      sockets[1 - from],
       asio::buffer(buffers[from].data(), bytes),
       [self = shared_from_this(), from](asio::error_code ec, std::size_t) {
         if (ec) {
@@ -88,19 +89,20 @@
 
   void close()
   {
-    for (auto& s : sides) {
+    for (auto& s : sockets) {
       asio::error_code ignored;
       s.close(ignored);
     }
-    owner.pairs_.erase(shared_from_this());
+    parent.connections_.erase(shared_from_this());
   }
 
-  proxy& owner;
-  std::array<tcp::socket, 2> sides;
-  std::array<asio::steady_timer, 2> pause;
+  proxy& parent;
+  std::array<tcp::socket, 2> sockets;
+  std::array<asio::steady_timer, 2> timers;
   std::array<std::array<char, chunk_bytes>, 2> buffers{};
-  // Some bytes were dropped: the rest would be out of place.
-  bool broken = false;
+  // Set once bytes were dropped. All later bytes are dropped too, because they
+  // would arrive at the wrong position of the stream.
+  bool has_dropped_bytes = false;
 };
 
 proxy::proxy(asio::io_context& io, std::string upstream)
@@ -120,17 +122,17 @@
 }
 
 void
-proxy::set(harm h)
+proxy::set_fault(link_fault fault)
 {
-  harm_ = h;
-  if (h != harm::reset) {
+  fault_ = fault;
+  if (fault != link_fault::reset) {
     return;
   }
-  const auto all = pairs_;
-  pairs_.clear();
-  for (const auto& p : all) {
-    reset(p->sides[0]);
-    reset(p->sides[1]);
+  const auto open = connections_;
+  connections_.clear();
+  for (const auto& c : open) {
+    reset_connection(c->sockets[0]);
+    reset_connection(c->sockets[1]);
   }
 }
 
@@ -142,30 +144,30 @@
       return;
     }
     accept();
-    if (harm_ == harm::reset) {
-      reset(s);
+    if (fault_ == link_fault::reset) {
+      reset_connection(s);
     } else {
-      begin(std::move(s));
+      connect(std::move(s));
     }
   });
 }
 
 void
-proxy::begin(tcp::socket s)
+proxy::connect(tcp::socket s)
 {
-  auto p = std::make_shared<pair>(*this, std::move(s), io_);
-  pairs_.insert(p);
-  p->sides[1].async_connect(*http::endpoint_from(upstream_),
-                            [p](asio::error_code ec) {
-                              if (ec) {
-                                p->close();
-                                return;
-                              }
-                              http::tune(p->sides[0]);
-                              http::tune(p->sides[1]);
-                              p->pump(0);
-                              p->pump(1);
-                            });
+  auto new_connection = std::make_shared<connection>(*this, std::move(s), io_);
+  connections_.insert(new_connection);
+  new_connection->sockets[1].async_connect(
+    *http::endpoint_from(upstream_), [new_connection](asio::error_code ec) {
+      if (ec) {
+        new_connection->close();
+        return;
+      }
+      http::tune(new_connection->sockets[0]);
+      http::tune(new_connection->sockets[1]);
+      new_connection->pump(0);
+      new_connection->pump(1);
+    });
 }
 
 } // namespace cactusford::soak
--- a/soak/proxy.h
+++ b/soak/proxy.h
@@ -1,4 +1,4 @@
-// A loopback proxy that harms the connections through it.
+// A loopback TCP proxy that injects faults into the connections through it.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,39 +11,40 @@
 
 namespace cactusford::soak {
 
-enum class harm
+enum class link_fault
 {
   none,
-  // Bytes arrive this much later.
+  // Bytes arrive late.
   delay,
-  // All connections are reset, and new ones at once.
+  // All open connections are reset, and each new one as soon as it is accepted.
   reset,
-  // What the upstream sends is dropped; the other way is whole.
+  // Bytes from the upstream are dropped. Bytes to it pass until the first drop
+  // on a connection.
   one_way,
-  // Nothing passes, and nothing is closed.
-  silence,
+  // Bytes of both directions are dropped and connections stay open.
+  blackhole,
 };
 
 class proxy
 {
 public:
-  // Passes connections on to `upstream`, an "ip:port".
+  // Forwards connections to `upstream`, an "ip:port".
   proxy(asio::io_context& io, std::string upstream);
   ~proxy();
 
   std::string address() const;
-  void set(harm h);
+  void set_fault(link_fault fault);
 
 private:
-  struct pair;
+  struct connection;
   void accept();
-  void begin(asio::ip::tcp::socket s);
+  void connect(asio::ip::tcp::socket s);
 
   asio::io_context& io_;
   std::string upstream_;
   asio::ip::tcp::acceptor acceptor_;
-  harm harm_ = harm::none;
-  std::set<std::shared_ptr<pair>> pairs_;
+  link_fault fault_ = link_fault::none;
+  std::set<std::shared_ptr<connection>> connections_;
 };
 
 } // namespace cactusford::soak
