--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -23,62 +23,65 @@
 
 using nlohmann::json;
 
-constexpr int changes = 10;
+constexpr int configuration_changes = 10;
 
-struct sample
+struct process_usage
 {
   double cpu_s = 0;
   double rss_mb = 0;
-  double sent = 0;
-  double received = 0;
+  double sent_bytes = 0;
+  double received_bytes = 0;
 };
 
-// Processor time and memory from the kernel's own accounting.
-sample
+// Reads CPU time and memory from /proc.
+process_usage
 read_process(pid_t pid)
 {
-  sample s;
+  process_usage usage;
   std::ifstream in{ "/proc/" + std::to_string(pid) + "/stat" };
   std::string text{ std::istreambuf_iterator<char>{ in }, {} };
-  // The name may hold blanks; it ends with the last parenthesis.
+  // The process name may contain spaces, so parsing starts after the last
+  // parenthesis, which ends it.
   std::istringstream fields{ text.substr(text.rfind(')') + 2) };
-  std::vector<std::string> all;
+  std::vector<std::string> values;
   std::string field;
   while (fields >> field) {
-    all.push_back(field);
+    values.push_back(field);
   }
   constexpr std::size_t user = 11;
   constexpr std::size_t resident = 21;
-  const auto ticks = std::stod(all.at(user)) + std::stod(all.at(user + 1));
-  s.cpu_s = ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
-  s.rss_mb = std::stod(all.at(resident)) *
-             static_cast<double>(sysconf(_SC_PAGESIZE)) / 1e6;
-  return s;
+  const auto ticks =
+    std::stod(values.at(user)) + std::stod(values.at(user + 1));
+  usage.cpu_s = ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
+  usage.rss_mb = std::stod(values.at(resident)) *
+                 static_cast<double>(sysconf(_SC_PAGESIZE)) / 1e6;
+  return usage;
 }
 
 double
-metric(const std::string& text, const std::string& name)
+metric_value(const std::string& text, const std::string& name)
 {
   const auto at = text.find("\n" + name + " ");
   return at == std::string::npos ? 0
                                  : std::stod(text.substr(at + name.size() + 2));
 }
 
-sample
-read_daemon(standins::fleet& fleet, const std::string& name)
+process_usage
+read_usage(standins::fleet& fleet, const std::string& name)
 {
-  auto s = read_process(fleet.pid_of(name));
+  auto usage = read_process(fleet.pid_of(name));
   const auto a = link::address_from(fleet.address(name, "admin"));
   httplib::Client c{ a.ip, a.port };
   if (const auto r = c.Get("/metrics")) {
-    s.sent = metric(r->body, "cactusford_link_sent_bytes");
-    s.received = metric(r->body, "cactusford_link_received_bytes");
+    usage.sent_bytes = metric_value(r->body, "cactusford_link_sent_bytes");
+    usage.received_bytes =
+      metric_value(r->body, "cactusford_link_received_bytes");
   }
-  return s;
+  return usage;
 }
 
 double
-total(const json& counts)
+sum_counts(const json& counts)
 {
   double sum = 0;
   for (const auto& [duty, count] : counts.items()) {
@@ -88,7 +91,7 @@
 }
 
 standins::fleet_options
-options_of(const capacity_options& o, int size)
+fleet_options_for(const capacity_options& o, int size)
 {
   standins::fleet_options f;
   f.deployment = o.deployment;
@@ -109,11 +112,11 @@
 }
 
 json
-summary(int size,
-        const std::vector<sample>& before,
-        const std::vector<sample>& after,
-        double seconds,
-        double calls)
+summarize(int size,
+          const std::vector<process_usage>& before,
+          const std::vector<process_usage>& after,
+          double seconds,
+          double calls)
 {
   std::vector<double> cpu;
   std::vector<double> rss;
@@ -121,8 +124,8 @@
   for (std::size_t i = 0; i < before.size(); ++i) {
     cpu.push_back((after[i].cpu_s - before[i].cpu_s) / seconds * 100);
     rss.push_back(after[i].rss_mb);
-    bytes.push_back((after[i].sent + after[i].received - before[i].sent -
-                     before[i].received) /
+    bytes.push_back((after[i].sent_bytes + after[i].received_bytes -
+                     before[i].sent_bytes - before[i].received_bytes) /
                     seconds);
   }
   return { { "processes", size },
@@ -136,65 +139,66 @@
 }
 
 json
-measure(const capacity_options& o, int size, std::string& wrong)
+measure(const capacity_options& o, int size, std::string& error)
 {
-  json line;
+  json result;
   {
-    standins::fleet fleet{ options_of(o, size) };
+    standins::fleet fleet{ fleet_options_for(o, size) };
     timeline::open_log(o.folder + "/load.log", "load");
-    wrong = fleet.start();
-    if (wrong.empty()) {
-      wrong = fleet.apply_declarations();
+    error = fleet.start();
+    if (error.empty()) {
+      error = fleet.apply_declarations();
     }
-    if (!wrong.empty()) {
-      return line;
+    if (!error.empty()) {
+      return result;
     }
-    // Connections of the start are idle by then and closed.
+    // Waits until the connections used during startup are idle and closed.
     std::this_thread::sleep_for(std::chrono::seconds{ 15 });
     auto names = fleet.entries();
     for (const auto* service : { "orders-app", "scorer" }) {
-      const auto more = fleet.sidecars(service);
-      names.insert(names.end(), more.begin(), more.end());
+      const auto sidecars = fleet.sidecars(service);
+      names.insert(names.end(), sidecars.begin(), sidecars.end());
     }
-    std::vector<sample> before;
-    std::vector<sample> after;
-    const auto calls = total(fleet.platform_counts());
+    std::vector<process_usage> before;
+    std::vector<process_usage> after;
+    const auto calls = sum_counts(fleet.platform_counts());
     for (const auto& n : names) {
-      before.push_back(read_daemon(fleet, n));
+      before.push_back(read_usage(fleet, n));
     }
-    const auto began = process::steady_ms();
+    const auto start_ms = process::steady_ms();
     std::this_thread::sleep_for(std::chrono::seconds{ o.seconds });
     const auto seconds =
-      static_cast<double>(process::steady_ms() - began) / 1000;
+      static_cast<double>(process::steady_ms() - start_ms) / 1000;
     for (const auto& n : names) {
-      after.push_back(read_daemon(fleet, n));
+      after.push_back(read_usage(fleet, n));
     }
-    line = summary(static_cast<int>(names.size()),
-                   before,
-                   after,
-                   seconds,
-                   total(fleet.platform_counts()) - calls);
+    result = summarize(static_cast<int>(names.size()),
+                       before,
+                       after,
+                       seconds,
+                       sum_counts(fleet.platform_counts()) - calls);
     timeline::log(timeline::event{ "changes_begin" });
-    for (int i = 0; i < changes; ++i) {
+    for (int i = 0; i < configuration_changes; ++i) {
       fleet.apply(
         "trainer", "plans", { { "model", "m" }, { "share", 0.01 * (i + 1) } });
     }
     std::this_thread::sleep_for(std::chrono::seconds{ 2 });
   }
-  // Only what was accepted when all was up: the changes above.
+  // Only the changes above count, because all processes were up by then.
   auto records = timeline::read_logs(o.folder);
   const auto begin =
     std::find_if(records.begin(), records.end(), [](const auto& r) {
       return r.name == "changes_begin";
     });
-  // Earlier declarations came while the tree was still forming.
+  // Earlier declarations were accepted while the distribution tree was still
+  // forming.
   for (auto r = records.begin(); r != begin; ++r) {
     if (r->name == "configuration_accepted") {
       r->name = "earlier";
     }
   }
-  line["in_force_ms_max"] = timeline::longest_in_force_ms(records);
-  return line;
+  result["in_force_ms_max"] = timeline::longest_in_force_ms(records);
+  return result;
 }
 
 } // namespace
@@ -202,19 +206,19 @@
 int
 run_capacity(const capacity_options& o)
 {
-  auto lines = json::array();
+  auto results = json::array();
   for (const auto size : o.sizes) {
-    std::string wrong;
-    auto line = measure(o, size, wrong);
-    if (!wrong.empty()) {
-      std::cout << "capacity: failed at " << size << ": " << wrong << "\n";
+    std::string error;
+    auto result = measure(o, size, error);
+    if (!error.empty()) {
+      std::cout << "capacity: failed at " << size << ": " << error << "\n";
       return 1;
     }
-    std::cout << line.dump() << std::endl;
-    lines.push_back(std::move(line));
+    std::cout << result.dump() << std::endl;
+    results.push_back(std::move(result));
   }
   if (!o.json.empty()) {
-    std::ofstream{ o.json } << json{ { "sizes", lines } }.dump(2) << "\n";
+    std::ofstream{ o.json } << json{ { "sizes", results } }.dump(2) << "\n";
   }
   return 0;
 }
--- a/bench/capacity.h
+++ b/bench/capacity.h
@@ -1,4 +1,5 @@
-// What control costs a process at rest, by the size of the fleet.
+// Measures what the control plane costs an idle process, by the size of the
+// fleet.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +13,13 @@
   std::string deployment = "deployments/tregaron";
   std::string folder = "build/capacity";
   std::string programs = "build/bin";
-  // Sidecars of the fleets that are measured.
+  // Number of sidecars of each measured fleet.
   std::vector<int> sizes{ 10, 50, 100, 150 };
   std::uint32_t seconds = 10;
   std::string json;
 };
 
+// Prints a JSON line for each size. Returns the exit code.
 int
 run_capacity(const capacity_options& o);
 
--- a/bench/demo.cc
+++ b/bench/demo.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::uint32_t trainers_limit_ms = 180000;
-// Long enough that what was accepted last is in force before the end.
+constexpr std::uint32_t trainers_timeout_ms = 180000;
+// Long enough for the last accepted change to be in force before the end.
 constexpr std::uint32_t settle_ms = 1000;
 
 int
-failed(const std::string& why)
+report_failure(const std::string& why)
 {
   std::cout << "demo: failed " << why << std::endl;
   return 1;
@@ -37,7 +37,7 @@
   return 0;
 }
 
-struct tally
+struct received_counts
 {
   std::uint64_t live = 0;
   std::uint64_t service = 0;
@@ -48,36 +48,36 @@
   std::uint64_t unanswered = 0;
 };
 
-// Counted from what receivers logged, never from the senders' own sums.
-tally
-count(const std::vector<timeline::record>& records)
+// Counts what receivers logged. The senders' own counts would not show losses.
+received_counts
+count_received(const std::vector<timeline::record>& records)
 {
-  tally t;
+  received_counts counts;
   std::set<std::string> slots;
   std::uint64_t expected = 0;
   for (const auto& r : records) {
     if (r.name == "answer_received") {
       const bool answered =
         r.value("outcome") == "answered" && r.value("whole") == "1";
-      auto& kind = r.value("class") == "live" ? t.live : t.service;
+      auto& kind = r.value("class") == "live" ? counts.live : counts.service;
       kind += answered ? 1 : 0;
-      t.unanswered += answered ? 0 : 1;
+      counts.unanswered += answered ? 0 : 1;
     } else if (r.name == "sample_received") {
-      ++t.samples;
+      ++counts.samples;
       const auto slot =
         r.value("trainer") + "/" + r.value("step") + "/" + r.value("slot");
-      t.duplicates += slots.insert(slot).second ? 0 : 1;
+      counts.duplicates += slots.insert(slot).second ? 0 : 1;
     } else if (r.name == "step_completed") {
-      ++t.steps;
+      ++counts.steps;
       expected += r.number("size");
     }
   }
-  t.lost = expected > slots.size() ? expected - slots.size() : 0;
-  return t;
+  counts.lost = expected > slots.size() ? expected - slots.size() : 0;
+  return counts;
 }
 
 int
-judge(const demo_options& o, std::uint64_t trainers)
+check_logs(const demo_options& o, std::uint64_t trainers)
 {
   const auto records = timeline::read_logs(o.folder);
   const auto results = timeline::check_history(records, {});
@@ -89,19 +89,20 @@
       std::cout << "  " << v << "\n";
     }
   }
-  const auto t = count(records);
-  const auto in_force = timeline::longest_in_force_ms(records);
-  const bool good = violations == 0 && t.lost == 0 && t.duplicates == 0 &&
-                    t.steps == o.steps * trainers && t.live > 0 &&
-                    t.service > 0;
-  std::cout << "demo: " << (good ? "ok" : "failed") << " live_calls=" << t.live
-            << " service_calls=" << t.service << " samples=" << t.samples
-            << " steps=" << t.steps << " duplicates=" << t.duplicates
-            << " lost=" << t.lost
+  const auto counts = count_received(records);
+  const auto in_force_ms = timeline::longest_in_force_ms(records);
+  const bool passed =
+    violations == 0 && counts.lost == 0 && counts.duplicates == 0 &&
+    counts.steps == o.steps * trainers && counts.live > 0 && counts.service > 0;
+  std::cout << "demo: " << (passed ? "ok" : "failed")
+            << " live_calls=" << counts.live
+            << " service_calls=" << counts.service
+            << " samples=" << counts.samples << " steps=" << counts.steps
+            << " duplicates=" << counts.duplicates << " lost=" << counts.lost
             << " stale=" << violations_of(results, "staleness")
             << " misattributed=" << violations_of(results, "attribution")
-            << " in_force_ms=" << in_force << std::endl;
-  return good ? 0 : 1;
+            << " in_force_ms=" << in_force_ms << std::endl;
+  return passed ? 0 : 1;
 }
 
 } // namespace
@@ -117,37 +118,37 @@
   {
     standins::fleet fleet{ f };
     timeline::open_log(o.folder + "/load.log", "load");
-    if (const auto wrong = fleet.start(); !wrong.empty()) {
-      return failed(wrong);
+    if (const auto error = fleet.start(); !error.empty()) {
+      return report_failure(error);
     }
-    if (const auto wrong = fleet.apply_declarations(); !wrong.empty()) {
-      return failed(wrong);
+    if (const auto error = fleet.apply_declarations(); !error.empty()) {
+      return report_failure(error);
     }
     std::this_thread::sleep_for(std::chrono::milliseconds{ settle_ms });
-    const auto& d = fleet.deployment();
+    const auto& deployment = fleet.deployment();
     load_options l;
     l.entries = [&fleet] {
-      std::vector<std::string> all;
+      std::vector<std::string> addresses;
       for (const auto& e : fleet.entries()) {
-        all.push_back(fleet.address(e, "http"));
+        addresses.push_back(fleet.address(e, "http"));
       }
-      return all;
+      return addresses;
     };
-    l.model = d.at("load").at("model");
-    l.service = d.at("load").at("service");
-    trainers = d.at("trainers").size();
-    load callers{ l };
+    l.model = deployment.at("load").at("model");
+    l.service = deployment.at("load").at("service");
+    trainers = deployment.at("trainers").size();
+    load_generator callers{ l };
     callers.start();
     fleet.start_trainers(o.steps);
-    const int code = fleet.wait_exit("trainers", trainers_limit_ms);
+    const int code = fleet.wait_exit("trainers", trainers_timeout_ms);
     callers.stop();
     std::this_thread::sleep_for(std::chrono::milliseconds{ settle_ms });
     std::cout << fleet.operate({ "status" }).second;
     if (code != 0) {
-      return failed("the trainers did not end their steps");
+      return report_failure("the trainers failed or did not exit in time");
     }
   }
-  return judge(o, trainers);
+  return check_logs(o, trainers);
 }
 
 } // namespace cactusford::bench
--- a/bench/demo.h
+++ b/bench/demo.h
@@ -1,4 +1,4 @@
-// The demo: a deployment with trainers and callers, judged by its event logs.
+// Runs a deployment with trainers and callers and checks its event logs.
 #pragma once
 
 #include <cstdint>
--- a/bench/faults.cc
+++ b/bench/faults.cc
@@ -20,84 +20,89 @@
 using nlohmann::json;
 using timeline::event;
 
-constexpr std::uint32_t trainers_limit_ms = 90000;
+constexpr std::uint32_t trainers_timeout_ms = 90000;
 constexpr std::uint32_t settle_ms = 3000;
-constexpr std::uint32_t stop_limit_ms = 20000;
+constexpr std::uint32_t stop_timeout_ms = 20000;
 
 void
-rest(std::uint64_t ms)
+sleep_for_ms(std::uint64_t ms)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ ms });
 }
 
-// One run: a fleet, its load, and a schedule drawn from the seed.
-class run
+// One run: a fleet, its load, and faults drawn from the seed.
+class fault_run
 {
 public:
-  run(const faults_options& o, std::uint64_t seed, const std::string& where)
+  fault_run(const faults_options& o,
+            std::uint64_t seed,
+            const std::string& deployment)
     : options_{ o }
     , random_{ seed }
-    , fleet_{ fleet_options_of(o, where) }
+    , fleet_{ fleet_options_for(o, deployment) }
   {
   }
 
-  // What went wrong besides broken promises, or nothing.
-  std::string play(std::uint64_t seed)
+  // Returns an error message, or an empty string. Violated guarantees are found
+  // afterwards in the event logs.
+  std::string execute(std::uint64_t seed)
   {
     timeline::open_log(fleet_.folder() + "/load.log", "load");
     timeline::log(event{ "run_started" }.with("seed", seed));
-    if (auto wrong = fleet_.start(); !wrong.empty()) {
-      return wrong;
+    if (auto error = fleet_.start(); !error.empty()) {
+      return error;
     }
-    if (auto wrong = fleet_.apply_declarations(); !wrong.empty()) {
-      return wrong;
+    if (auto error = fleet_.apply_declarations(); !error.empty()) {
+      return error;
     }
-    rest(1500);
+    sleep_for_ms(1500);
     auto callers = make_load(seed);
     callers.start();
     fleet_.start_trainers(options_.steps);
     for (std::uint32_t i = 0; i < options_.faults; ++i) {
-      rest(draw(100, 900));
-      fault();
-      // Two at once, now and then.
-      if (draw(0, 2) == 0) {
-        fault();
+      sleep_for_ms(random_between(100, 900));
+      inject_fault();
+      // Sometimes a second fault follows immediately.
+      if (random_between(0, 2) == 0) {
+        inject_fault();
       }
     }
     heal();
-    rest(settle_ms);
-    const int code = fleet_.wait_exit("trainers", trainers_limit_ms);
+    sleep_for_ms(settle_ms);
+    const int code = fleet_.wait_exit("trainers", trainers_timeout_ms);
     callers.stop();
-    rest(settle_ms);
+    sleep_for_ms(settle_ms);
     counts_ = callers.counts();
-    return code == 0 ? std::string{} : "the trainers did not end their steps";
+    return code == 0 ? std::string{}
+                     : "the trainers failed or did not exit in time";
   }
 
   const load_counts& counts() const { return counts_; }
 
 private:
-  static standins::fleet_options fleet_options_of(const faults_options& o,
-                                                  const std::string& where)
+  static standins::fleet_options fleet_options_for(
+    const faults_options& o,
+    const std::string& deployment)
   {
     standins::fleet_options f;
-    f.deployment = where;
+    f.deployment = deployment;
     f.folder = o.folder;
     f.programs = o.programs;
     f.split_backends = true;
-    const json quick{ { "lease_ms", 1500 }, { "max_clock_skew_ms", 20 } };
-    f.entry_settings = quick;
-    f.sidecar_settings = quick;
+    const json short_lease{ { "lease_ms", 1500 }, { "max_clock_skew_ms", 20 } };
+    f.entry_settings = short_lease;
+    f.sidecar_settings = short_lease;
     f.deployment_settings = { { "entries", 3 } };
     return f;
   }
 
-  load make_load(std::uint64_t seed)
+  load_generator make_load(std::uint64_t seed)
   {
     const auto& d = fleet_.deployment();
     load_options l;
     l.entries = [this] {
       const std::lock_guard lock{ mutex_ };
-      return balanced_;
+      return balanced_entries_;
     };
     l.model = d.at("load").at("model");
     l.service = d.at("load").at("service");
@@ -105,86 +110,91 @@
     l.booking_callers = 4;
     l.check_callers = 2;
     l.seed = seed;
-    balance();
-    return load{ l };
+    update_balancer();
+    return load_generator{ l };
   }
 
-  // The balancer sends to the entries that run and are not leaving.
-  void balance()
+  // Restricts the load balancer to the entries that run and are not being
+  // stopped.
+  void update_balancer()
   {
-    std::vector<std::string> open;
+    std::vector<std::string> available;
     for (const auto& e : fleet_.entries()) {
-      if (!down_.contains(e) && fleet_.is_running(e)) {
-        open.push_back(fleet_.address(e, "http"));
+      if (!stopping_.contains(e) && fleet_.is_running(e)) {
+        available.push_back(fleet_.address(e, "http"));
       }
     }
     const std::lock_guard lock{ mutex_ };
-    balanced_ = open;
+    balanced_entries_ = available;
   }
 
-  std::uint64_t draw(std::uint64_t low, std::uint64_t high)
+  std::uint64_t random_between(std::uint64_t low, std::uint64_t high)
   {
     return std::uniform_int_distribution<std::uint64_t>{ low, high }(random_);
   }
 
-  std::string any(const std::vector<std::string>& names)
+  std::string random_element(const std::vector<std::string>& names)
   {
-    return names[draw(0, names.size() - 1)];
+    return names[random_between(0, names.size() - 1)];
   }
 
-  std::string any_service() { return fleet_.deployment()["load"]["service"]; }
+  std::string service_name() { return fleet_.deployment()["load"]["service"]; }
 
-  std::string any_daemon()
+  std::string random_daemon()
   {
     auto names = fleet_.entries();
-    for (const auto& more :
-         { fleet_.sidecars(any_service()), fleet_.sidecars(pool()) }) {
-      // Homes and entries are few and decide most: they are drawn more often.
-      names.insert(names.end(), more.begin(), more.begin() + 2);
+    for (const auto& sidecars :
+         { fleet_.sidecars(service_name()), fleet_.sidecars(pool_name()) }) {
+      // Only two sidecars of each service take part, so that entries and homes,
+      // which are few and make most decisions, are drawn more often.
+      names.insert(names.end(), sidecars.begin(), sidecars.begin() + 2);
     }
-    return any(names);
+    return random_element(names);
   }
 
-  std::string pool() { return fleet_.deployment()["engines"][0]["pool"]; }
+  std::string pool_name() { return fleet_.deployment()["engines"][0]["pool"]; }
 
-  std::string any_engine() { return "engine-" + any(fleet_.sidecars(pool())); }
+  std::string random_engine()
+  {
+    return "engine-" + random_element(fleet_.sidecars(pool_name()));
+  }
 
-  void note(const char* what, const std::string& target)
+  void log_fault(const char* what, const std::string& target)
   {
     timeline::log(
       event{ "fault_injected" }.with("what", what).with("on", target));
   }
 
-  void fault()
+  void inject_fault()
   {
-    static constexpr int kinds = 12;
-    switch (draw(0, kinds - 1)) {
+    static constexpr int kind_count = 12;
+    switch (random_between(0, kind_count - 1)) {
       case 0:
       case 1:
-        kill_and_restart(any_daemon());
+        kill_and_restart(random_daemon());
         break;
       case 2:
-        pause(any_daemon());
+        pause(random_daemon());
         break;
       case 3:
       case 4:
-        stop_gracefully(any_daemon());
+        stop_gracefully(random_daemon());
         break;
       case 5:
-        kill_engine(any_engine());
+        kill_engine(random_engine());
         break;
       case 6:
-        outage();
+        platform_outage();
         break;
       case 7:
-        note("lose_answers", "platform");
-        fleet_.platform_fault({ { "lose_answers", draw(1, 4) } });
+        log_fault("lose_answers", "platform");
+        fleet_.platform_fault({ { "lose_answers", random_between(1, 4) } });
         break;
       case 8:
         stale_reads();
         break;
       case 9:
-        swap_faults();
+        weight_swap_fault();
         break;
       case 10:
         race_operators();
@@ -193,7 +203,7 @@
         kill_trainers();
         break;
     }
-    balance();
+    update_balancer();
   }
 
   void kill_and_restart(const std::string& name)
@@ -201,13 +211,13 @@
     if (!fleet_.is_running(name)) {
       return;
     }
-    note("kill", name);
+    log_fault("kill", name);
     fleet_.signal(name, SIGKILL);
-    balance();
-    if (draw(0, 1) == 0) {
+    update_balancer();
+    if (random_between(0, 1) == 0) {
       fleet_.mark_gone(name);
     }
-    rest(draw(50, 1200));
+    sleep_for_ms(random_between(50, 1200));
     fleet_.respawn(name);
   }
 
@@ -216,16 +226,16 @@
     if (!fleet_.is_running(name)) {
       return;
     }
-    note("pause", name);
+    log_fault("pause", name);
     fleet_.signal(name, SIGSTOP);
-    const bool taken_for_dead = draw(0, 1) == 0;
-    if (taken_for_dead) {
+    const bool is_listed_as_gone = random_between(0, 1) == 0;
+    if (is_listed_as_gone) {
       fleet_.mark_gone(name);
     }
-    rest(draw(300, 4000));
+    sleep_for_ms(random_between(300, 4000));
     fleet_.signal(name, SIGCONT);
-    if (taken_for_dead) {
-      rest(draw(0, 1000));
+    if (is_listed_as_gone) {
+      sleep_for_ms(random_between(0, 1000));
       fleet_.mark_live(name);
     }
   }
@@ -235,84 +245,87 @@
     if (!fleet_.is_running(name)) {
       return;
     }
-    note("stop", name);
-    down_.insert(name);
-    balance();
-    const auto order = draw(0, 2);
-    if (order == 0) {
+    log_fault("stop", name);
+    stopping_.insert(name);
+    update_balancer();
+    const auto removal = random_between(0, 2);
+    if (removal == 0) {
       fleet_.mark_leaving(name);
     }
     fleet_.signal(name, SIGTERM);
-    const int code = fleet_.wait_exit(name, stop_limit_ms);
+    const int code = fleet_.wait_exit(name, stop_timeout_ms);
     timeline::log(event{ "stopped" }
                     .with("on", name)
                     .with("code", static_cast<std::uint64_t>(code)));
-    if (order == 1) {
+    if (removal == 1) {
       fleet_.mark_gone(name);
     }
-    down_.erase(name);
+    stopping_.erase(name);
     fleet_.respawn(name);
   }
 
   void kill_engine(const std::string& name)
   {
-    note("kill", name);
+    log_fault("kill", name);
     fleet_.signal(name, SIGKILL);
-    rest(draw(50, 800));
+    sleep_for_ms(random_between(50, 800));
     fleet_.restart_backend(name);
   }
 
-  void outage()
+  void platform_outage()
   {
-    note("outage", "platform");
+    log_fault("outage", "platform");
     fleet_.platform_fault({ { "outage", true } });
-    const auto name = any_daemon();
-    const auto other = draw(0, 3);
-    rest(draw(200, 1500));
-    if (other == 0) {
+    const auto name = random_daemon();
+    const auto extra_fault = random_between(0, 3);
+    sleep_for_ms(random_between(200, 1500));
+    if (extra_fault == 0) {
       kill_and_restart(name);
-    } else if (other == 1) {
+    } else if (extra_fault == 1) {
       pause(name);
-    } else if (other == 2) {
+    } else if (extra_fault == 2) {
       stop_gracefully(name);
     }
-    rest(draw(200, 2500));
+    sleep_for_ms(random_between(200, 2500));
     fleet_.platform_fault({ { "outage", false } });
   }
 
   void stale_reads()
   {
-    note("stale", "platform");
-    fleet_.platform_fault({ { "stale_by", draw(1, 20) } });
-    rest(draw(200, 1000));
+    log_fault("stale", "platform");
+    fleet_.platform_fault({ { "stale_by", random_between(1, 20) } });
+    sleep_for_ms(random_between(200, 1000));
     fleet_.platform_fault({ { "stale_by", 0 } });
   }
 
-  void swap_faults()
+  void weight_swap_fault()
   {
-    const auto engine = any_engine();
-    note("swap", engine);
+    const auto engine = random_engine();
+    log_fault("swap", engine);
     fleet_.backend_fault(
       engine,
-      { { draw(0, 1) == 0 ? "fail_swaps" : "lose_swap_answers", draw(1, 2) } });
+      { { random_between(0, 1) == 0 ? "fail_swaps" : "lose_swap_answers",
+          random_between(1, 2) } });
   }
 
-  // Two operators change one trainer at the same time.
+  // Lets two operators change the same trainer concurrently.
   void race_operators()
   {
-    note("race", "operators");
-    const auto file = fleet_.deployment()["trainers"][0]["name"];
-    const std::string trainer = file;
+    log_fault("race", "operators");
+    const auto trainer_name = fleet_.deployment()["trainers"][0]["name"];
+    const std::string trainer = trainer_name;
     const auto spec = [&](double share) {
-      return json{ { "model", pool() },
+      return json{ { "model", pool_name() },
                    { "share", share },
                    { "staleness_bound", 1 },
                    { "run_ahead", 0.25 } };
     };
-    const auto one = draw(1, 100) / 100.0;
-    const auto two = draw(1, 100) / 100.0;
-    std::thread first{ [&] { fleet_.apply("trainer", trainer, spec(one)); } };
-    fleet_.apply("trainer", trainer, spec(two), "b");
+    const auto first_share = random_between(1, 100) / 100.0;
+    const auto second_share = random_between(1, 100) / 100.0;
+    std::thread first{ [&] {
+      fleet_.apply("trainer", trainer, spec(first_share));
+    } };
+    fleet_.apply("trainer", trainer, spec(second_share), "b");
     first.join();
   }
 
@@ -321,9 +334,9 @@
     if (!fleet_.is_running("trainers")) {
       return;
     }
-    note("kill", "trainers");
+    log_fault("kill", "trainers");
     fleet_.signal("trainers", SIGKILL);
-    rest(draw(50, 500));
+    sleep_for_ms(random_between(50, 500));
     fleet_.respawn("trainers");
   }
 
@@ -333,24 +346,24 @@
                             { "slow_ms", 0 },
                             { "lose_answers", 0 },
                             { "stale_by", 0 } });
-    balance();
+    update_balancer();
   }
 
   faults_options options_;
   std::mt19937_64 random_;
   standins::fleet fleet_;
   std::mutex mutex_;
-  std::vector<std::string> balanced_;
-  std::set<std::string> down_;
+  std::vector<std::string> balanced_entries_;
+  std::set<std::string> stopping_;
   load_counts counts_;
 };
 
 json
-summary(std::uint64_t seed,
-        const std::string& where,
-        const std::string& wrong,
-        const load_counts& c,
-        const std::vector<timeline::promise_result>& results)
+summarize(std::uint64_t seed,
+          const std::string& deployment,
+          const std::string& error,
+          const load_counts& counts,
+          const std::vector<timeline::promise_result>& results)
 {
   json promises;
   std::uint64_t violations = 0;
@@ -360,13 +373,13 @@
     violations += r.violations.size();
   }
   return { { "seed", seed },
-           { "deployment", where },
+           { "deployment", deployment },
            { "violations", violations },
-           { "wrong", wrong },
-           { "live", c.live },
-           { "service", c.service },
-           { "refused", c.refused },
-           { "unknown", c.unknown },
+           { "wrong", error },
+           { "live", counts.live },
+           { "service", counts.service },
+           { "refused", counts.refused },
+           { "unknown", counts.unknown },
            { "promises", promises } };
 }
 
@@ -375,37 +388,38 @@
 int
 run_faults(const faults_options& o)
 {
-  auto all = json::array();
-  bool good = true;
+  auto run_summaries = json::array();
+  bool all_passed = true;
   for (std::uint32_t i = 0; i < o.runs; ++i) {
     const auto seed = o.seed + i;
-    const auto& where = o.deployments[i % o.deployments.size()];
-    std::string wrong;
+    const auto& deployment = o.deployments[i % o.deployments.size()];
+    std::string error;
     load_counts counts;
     {
-      run r{ o, seed, where };
-      wrong = r.play(seed);
-      counts = r.counts();
+      fault_run run{ o, seed, deployment };
+      error = run.execute(seed);
+      counts = run.counts();
     }
     const auto results =
       timeline::check_history(timeline::read_logs(o.folder), {});
-    const auto line = summary(seed, where, wrong, counts, results);
-    const bool kept = wrong.empty() && line["violations"] == 0;
-    std::cout << "run seed=" << seed << " deployment=" << where
-              << (kept ? " ok" : " FAILED") << " live=" << counts.live
+    const auto run_summary =
+      summarize(seed, deployment, error, counts, results);
+    const bool run_passed = error.empty() && run_summary["violations"] == 0;
+    std::cout << "run seed=" << seed << " deployment=" << deployment
+              << (run_passed ? " ok" : " FAILED") << " live=" << counts.live
               << " service=" << counts.service << " refused=" << counts.refused
               << " unknown=" << counts.unknown
-              << " violations=" << line["violations"] << " " << wrong
+              << " violations=" << run_summary["violations"] << " " << error
               << std::endl;
     for (const auto& r : results) {
       for (std::size_t v = 0; v < r.violations.size() && v < 5; ++v) {
         std::cout << "  " << r.promise << ": " << r.violations[v] << "\n";
       }
     }
-    all.push_back(line);
-    good = good && kept;
-    if (!kept) {
-      std::cout << "  logs are in " << o.folder << ", kept as "
+    run_summaries.push_back(run_summary);
+    all_passed = all_passed && run_passed;
+    if (!run_passed) {
+      std::cout << "  logs are in " << o.folder << ", copied to "
                 << o.folder + "-" + std::to_string(seed) << std::endl;
       std::filesystem::remove_all(o.folder + "-" + std::to_string(seed));
       std::filesystem::copy(o.folder,
@@ -414,9 +428,10 @@
     }
   }
   if (!o.json.empty()) {
-    std::ofstream{ o.json } << json{ { "runs", all } }.dump(2) << "\n";
+    std::ofstream{ o.json } << json{ { "runs", run_summaries } }.dump(2)
+                            << "\n";
   }
-  return good ? 0 : 1;
+  return all_passed ? 0 : 1;
 }
 
 } // namespace cactusford::bench
--- a/bench/faults.h
+++ b/bench/faults.h
@@ -1,4 +1,4 @@
-// Random schedules of failures on real processes, judged by their history.
+// Injects random faults into real processes and checks their event logs.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 struct faults_options
 {
-  // Folders of deployments; the runs take them in turn.
+  // Folders of deployments. The runs use them in turn.
   std::vector<std::string> deployments{ "deployments/tregaron",
                                         "deployments/kingston" };
   std::string folder = "build/faults";
@@ -21,7 +21,7 @@
   std::string json;
 };
 
-// Prints a line a run, with the seed of a failing one. Returns the exit code.
+// Prints one line for each run, with its seed. Returns the exit code.
 int
 run_faults(const faults_options& o);
 
--- a/bench/load.cc
+++ b/bench/load.cc
@@ -29,39 +29,40 @@
     .count();
 }
 
-// What one HTTP exchange came to.
+// The outcome of one HTTP exchange, as a caller sees it.
 struct outcome
 {
   // answered, not_run, unknown, not_whole, cancelled or unreachable.
-  std::string what = "unreachable";
-  bool whole = false;
-  double first_ms = 0;
-  std::uint32_t retry_ms = 0;
-  std::string kind;
+  std::string result = "unreachable";
+  bool is_complete = false;
+  double first_token_ms = 0;
+  std::uint32_t retry_after_ms = 0;
+  std::string error;
 };
 
 outcome
-outcome_of_error(const std::string& body)
+parse_error(const std::string& body)
 {
   outcome o;
   const auto j = json::parse(body, nullptr, false);
   if (j.is_object() && j.contains("error")) {
-    o.what = j["error"].value("outcome", std::string{ "unknown" });
-    o.kind = j["error"].value("kind", std::string{});
-    o.retry_ms = j["error"].value("retry_after_ms", 0U);
+    o.result = j["error"].value("outcome", std::string{ "unknown" });
+    o.error = j["error"].value("kind", std::string{});
+    o.retry_after_ms = j["error"].value("retry_after_ms", 0U);
   }
   return o;
 }
 
-// The stand-in engine writes " MARK.0 MARK.1 ..." with a mark of the prompt,
-// so that a gap, a repeat and another caller's text all show.
+// The stand-in engine streams " HASH.0 HASH.1 ..." with a hash of the prompt,
+// so that missing tokens, repeated tokens and the text of another caller all
+// show.
 bool
-is_whole_text(const std::string& text, const std::string& prompt)
+is_complete_text(const std::string& text, const std::string& prompt)
 {
-  std::array<char, 8> mark{};
+  std::array<char, 8> prefix{};
   std::snprintf(
-    mark.data(),
-    mark.size(),
+    prefix.data(),
+    prefix.size(),
     "%04x",
     static_cast<unsigned>(
       XXH3_64bits_withSeed(prompt.data(), prompt.size(), 0) & 0xffff));
@@ -69,7 +70,7 @@
   std::string word;
   std::uint64_t next = 0;
   while (in >> word) {
-    if (word != std::string{ mark.data() } + "." + std::to_string(next++)) {
+    if (word != std::string{ prefix.data() } + "." + std::to_string(next++)) {
       return false;
     }
   }
@@ -82,10 +83,10 @@
                   const json& body,
                   const std::string& prompt)
 {
-  std::string raw;
+  std::string stream;
   int status = 0;
   outcome o;
-  const auto began = clock_type::now();
+  const auto start = clock_type::now();
   httplib::Request r;
   r.method = "POST";
   r.path = "/v1/completions";
@@ -98,47 +99,48 @@
   };
   r.content_receiver =
     [&](const char* data, std::size_t n, std::uint64_t, std::uint64_t) {
-      if (o.first_ms == 0) {
-        o.first_ms = ms_since(began);
+      if (o.first_token_ms == 0) {
+        o.first_token_ms = ms_since(start);
       }
-      raw.append(data, n);
+      stream.append(data, n);
       return true;
     };
   const auto answer = c.send(r);
   if (status != 0 && status != 200) {
-    return outcome_of_error(raw);
+    return parse_error(stream);
   }
   if (!answer && status == 0) {
     return o;
   }
   std::string text;
-  bool done = false;
-  std::istringstream lines{ raw };
+  bool has_end = false;
+  std::istringstream lines{ stream };
   std::string line;
   while (std::getline(lines, line)) {
     if (line == "data: [DONE]") {
-      done = true;
+      has_end = true;
     } else if (line.starts_with("data: ")) {
       const auto j = json::parse(line.substr(6), nullptr, false);
       if (j.is_object() && j.contains("error")) {
-        auto failed = outcome_of_error(line.substr(6));
-        failed.first_ms = o.first_ms;
-        return failed;
+        auto error = parse_error(line.substr(6));
+        error.first_token_ms = o.first_token_ms;
+        return error;
       }
       if (j.is_object() && j.contains("choices")) {
         text += j["choices"][0].value("text", std::string{});
       }
     }
   }
-  // A stream without its end is no answer: the caller sees that it is cut.
-  o.what = done ? "answered" : "not_whole";
-  o.whole = done && is_whole_text(text, prompt);
+  // A stream without its end mark is not an answer: the caller can tell that
+  // the connection was lost.
+  o.result = has_end ? "answered" : "not_whole";
+  o.is_complete = has_end && is_complete_text(text, prompt);
   return o;
 }
 
 } // namespace
 
-struct load::shared
+struct load_generator::shared_state
 {
   std::atomic<bool> stopped{ false };
   std::mutex mutex;
@@ -146,46 +148,48 @@
 };
 
 double
-percentile(std::vector<double> values, double p)
+percentile(std::vector<double> values, double fraction)
 {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(std::lround(p * last))];
+  return values[static_cast<std::size_t>(std::lround(fraction * last))];
 }
 
-load::load(load_options o)
+load_generator::load_generator(load_options o)
   : options_{ std::move(o) }
-  , shared_{ std::make_shared<shared>() }
+  , state_{ std::make_shared<shared_state>() }
 {
 }
 
-load::~load()
+load_generator::~load_generator()
 {
   stop();
 }
 
 void
-load::start()
+load_generator::start()
 {
-  std::uint64_t number = 0;
+  std::uint64_t next_index = 0;
   for (std::uint32_t i = 0; i < options_.live_callers; ++i) {
-    threads_.emplace_back([this, n = number++] { live_caller(n); });
+    threads_.emplace_back([this, n = next_index++] { run_live_caller(n); });
   }
   for (std::uint32_t i = 0; i < options_.check_callers; ++i) {
-    threads_.emplace_back([this, n = number++] { service_caller(n, false); });
+    threads_.emplace_back(
+      [this, n = next_index++] { run_service_caller(n, false); });
   }
   for (std::uint32_t i = 0; i < options_.booking_callers; ++i) {
-    threads_.emplace_back([this, n = number++] { service_caller(n, true); });
+    threads_.emplace_back(
+      [this, n = next_index++] { run_service_caller(n, true); });
   }
 }
 
 void
-load::stop()
+load_generator::stop()
 {
-  shared_->stopped = true;
+  state_->stopped = true;
   for (auto& t : threads_) {
     t.join();
   }
@@ -193,28 +197,28 @@
 }
 
 load_counts
-load::counts()
+load_generator::counts()
 {
-  const std::lock_guard lock{ shared_->mutex };
-  return shared_->counts;
+  const std::lock_guard lock{ state_->mutex };
+  return state_->counts;
 }
 
 namespace {
 
-// One caller: keeps its connection to an entry until that fails.
-class caller_link
+// The connection of one caller, kept to the same entry until a request fails.
+class entry_connection
 {
 public:
-  explicit caller_link(std::uint64_t turn)
-    : turn_{ turn }
+  explicit entry_connection(std::uint64_t entry_index)
+    : entry_index_{ entry_index }
   {
   }
 
-  httplib::Client* to_entry(const std::vector<std::string>& entries,
-                            std::uint32_t timeout_ms)
+  httplib::Client* client(const std::vector<std::string>& entries,
+                          std::uint32_t timeout_ms)
   {
     if (client_ == nullptr && !entries.empty()) {
-      const auto a = link::address_from(entries[turn_ % entries.size()]);
+      const auto a = link::address_from(entries[entry_index_ % entries.size()]);
       client_ = std::make_unique<httplib::Client>(a.ip, a.port);
       client_->set_keep_alive(true);
       client_->set_tcp_nodelay(true);
@@ -224,43 +228,43 @@
     return client_.get();
   }
 
-  void next()
+  void switch_entry()
   {
     client_ = nullptr;
-    ++turn_;
+    ++entry_index_;
   }
 
 private:
-  std::uint64_t turn_;
+  std::uint64_t entry_index_;
   std::unique_ptr<httplib::Client> client_;
 };
 
 void
-rest(std::uint64_t ms)
+sleep_for_ms(std::uint64_t ms)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ ms });
 }
 
-constexpr std::uint32_t client_margin_ms = 2000;
+constexpr std::uint32_t client_timeout_margin_ms = 2000;
 
 void
-log_answer(const char* cls,
-           const std::string& request,
-           const std::string& key,
-           const outcome& o,
-           double ms)
+log_response(const char* call_class,
+             const std::string& request,
+             const std::string& key,
+             const outcome& o,
+             double ms)
 {
   auto e = timeline::event{ "answer_received" }
-             .with("class", cls)
+             .with("class", call_class)
              .with("request", request)
-             .with("outcome", o.what)
-             .with("whole", o.whole ? 1U : 0U)
+             .with("outcome", o.result)
+             .with("whole", o.is_complete ? 1U : 0U)
              .with("ms", static_cast<std::uint64_t>(ms));
   if (!key.empty()) {
     e.with("key", key);
   }
-  if (!o.kind.empty()) {
-    e.with("error", o.kind);
+  if (!o.error.empty()) {
+    e.with("error", o.error);
   }
   timeline::log(e);
 }
@@ -268,21 +272,21 @@
 } // namespace
 
 void
-load::live_caller(std::uint64_t number)
+load_generator::run_live_caller(std::uint64_t caller_index)
 {
-  std::mt19937_64 random{ options_.seed * 1000 + number };
-  caller_link to{ number };
-  while (!shared_->stopped) {
+  std::mt19937_64 random{ options_.seed * 1000 + caller_index };
+  entry_connection connection{ caller_index };
+  while (!state_->stopped) {
     const auto prompt = "lookup " + std::to_string(random() % 1000);
     const json body{ { "model", options_.model },
                      { "prompt", prompt },
                      { "max_tokens", options_.max_tokens },
                      { "stream", true } };
     for (std::uint32_t i = 0; i <= options_.repeats; ++i) {
-      auto* c = to.to_entry(options_.entries(),
-                            options_.deadline_ms + client_margin_ms);
+      auto* c = connection.client(
+        options_.entries(), options_.deadline_ms + client_timeout_margin_ms);
       if (c == nullptr) {
-        rest(100);
+        sleep_for_ms(100);
         break;
       }
       const auto id = process::new_id();
@@ -290,87 +294,87 @@
         { "X-Request-Id", id },
         { "X-Deadline-Ms", std::to_string(options_.deadline_ms) }
       };
-      const auto began = clock_type::now();
+      const auto start = clock_type::now();
       const auto o = stream_completion(*c, headers, body, prompt);
-      const auto ms = ms_since(began);
-      log_answer("live", id, {}, o, ms);
+      const auto ms = ms_since(start);
+      log_response("live", id, {}, o, ms);
       {
-        const std::lock_guard lock{ shared_->mutex };
-        auto& counts = shared_->counts;
-        if (o.what == "answered") {
+        const std::lock_guard lock{ state_->mutex };
+        auto& counts = state_->counts;
+        if (o.result == "answered") {
           ++counts.live;
           counts.live_ms.push_back(ms);
-          counts.first_token_ms.push_back(o.first_ms);
+          counts.first_token_ms.push_back(o.first_token_ms);
         } else {
-          ++(o.what == "not_run" ? counts.refused : counts.unknown);
+          ++(o.result == "not_run" ? counts.refused : counts.unknown);
         }
       }
-      if (o.what == "answered") {
+      if (o.result == "answered") {
         break;
       }
-      to.next();
-      rest(std::max<std::uint32_t>(o.retry_ms, 20));
+      connection.switch_entry();
+      sleep_for_ms(std::max<std::uint32_t>(o.retry_after_ms, 20));
     }
-    rest(options_.pause_ms);
+    sleep_for_ms(options_.interval_ms);
   }
 }
 
 void
-load::service_caller(std::uint64_t number, bool booking)
+load_generator::run_service_caller(std::uint64_t caller_index, bool is_booking)
 {
-  caller_link to{ number };
-  std::uint64_t turn = 0;
-  while (!shared_->stopped) {
-    const auto key = booking ? process::new_id() : std::string{};
-    const auto text = "seat " + std::to_string(number) + "/" +
-                      std::to_string(turn++) + "/" + process::new_id();
+  entry_connection connection{ caller_index };
+  std::uint64_t request_index = 0;
+  while (!state_->stopped) {
+    const auto key = is_booking ? process::new_id() : std::string{};
+    const auto text = "seat " + std::to_string(caller_index) + "/" +
+                      std::to_string(request_index++) + "/" + process::new_id();
     for (std::uint32_t i = 0; i <= options_.repeats; ++i) {
-      auto* c = to.to_entry(options_.entries(),
-                            options_.deadline_ms + client_margin_ms);
+      auto* c = connection.client(
+        options_.entries(), options_.deadline_ms + client_timeout_margin_ms);
       if (c == nullptr) {
-        rest(100);
+        sleep_for_ms(100);
         break;
       }
       const auto id = process::new_id();
       httplib::Headers headers{ { "X-Request-Id", id },
                                 { "X-Deadline-Ms",
                                   std::to_string(options_.deadline_ms) } };
-      if (booking) {
+      if (is_booking) {
         headers.emplace("Idempotency-Key", key);
       }
       const auto path =
-        "/service/" + options_.service + (booking ? "/book" : "/check");
-      const auto began = clock_type::now();
+        "/service/" + options_.service + (is_booking ? "/book" : "/check");
+      const auto start = clock_type::now();
       const auto r = c->Post(path, headers, text, "text/plain");
-      const auto ms = ms_since(began);
+      const auto ms = ms_since(start);
       outcome o;
       if (r && r->status == 200) {
         const auto j = json::parse(r->body, nullptr, false);
-        o.what = "answered";
-        o.whole = j.is_object() && j.value("echo", std::string{}) == text;
+        o.result = "answered";
+        o.is_complete = j.is_object() && j.value("echo", std::string{}) == text;
       } else if (r) {
-        o = outcome_of_error(r->body);
+        o = parse_error(r->body);
       }
-      log_answer(booking ? "booking" : "check", id, key, o, ms);
+      log_response(is_booking ? "booking" : "check", id, key, o, ms);
       {
-        const std::lock_guard lock{ shared_->mutex };
-        auto& counts = shared_->counts;
-        if (o.what == "answered") {
+        const std::lock_guard lock{ state_->mutex };
+        auto& counts = state_->counts;
+        if (o.result == "answered") {
           ++counts.service;
           counts.service_ms.push_back(ms);
         } else {
-          ++(o.what == "not_run" ? counts.refused : counts.unknown);
+          ++(o.result == "not_run" ? counts.refused : counts.unknown);
         }
       }
-      // "unknown" from the service is its last word; an entry that died in
-      // between is asked again elsewhere, under the same key.
-      if (o.what == "answered" || o.kind == "outcome_unknown") {
+      // An unknown outcome reported by the service is final. If the entry
+      // crashed instead, the request is retried elsewhere under the same key.
+      if (o.result == "answered" || o.error == "outcome_unknown") {
         break;
       }
-      to.next();
-      rest(std::max<std::uint32_t>(o.retry_ms, 20));
+      connection.switch_entry();
+      sleep_for_ms(std::max<std::uint32_t>(o.retry_after_ms, 20));
     }
-    rest(options_.pause_ms);
+    sleep_for_ms(options_.interval_ms);
   }
 }
 
--- a/bench/load.h
+++ b/bench/load.h
@@ -1,6 +1,6 @@
-// Callers for experiments: live completions, service checks and bookings, each
-// logged with what came back. They repeat like real ones: a booking under the
-// same key, through another entry.
+// Generates load for experiments: live completions, service checks and
+// bookings. Every response is logged. The callers retry as real ones do:
+// through another entry, and a booking under the same idempotency key.
 #pragma once
 
 #include <atomic>
@@ -15,17 +15,17 @@
 
 struct load_options
 {
-  // Returns the callers' ports of the entries that the balancer would use.
+  // Returns the addresses of the entries that a load balancer would use.
   std::function<std::vector<std::string>()> entries;
   std::string model;
   std::string service;
   std::uint32_t live_callers = 2;
   std::uint32_t check_callers = 1;
   std::uint32_t booking_callers = 1;
-  std::uint32_t pause_ms = 20;
+  std::uint32_t interval_ms = 20;
   std::uint32_t max_tokens = 48;
   std::uint32_t deadline_ms = 5000;
-  // Repeats of a request that was not answered.
+  // Retries of a request that was not answered.
   std::uint32_t repeats = 4;
   std::uint64_t seed = 1;
 };
@@ -41,29 +41,29 @@
   std::vector<double> service_ms;
 };
 
-class load
+class load_generator
 {
 public:
-  explicit load(load_options o);
-  ~load();
+  explicit load_generator(load_options o);
+  ~load_generator();
 
   void start();
-  // Waits for the calls under way.
+  // Stops the callers and waits for their calls in progress.
   void stop();
   load_counts counts();
 
 private:
-  struct shared;
-  void live_caller(std::uint64_t number);
-  void service_caller(std::uint64_t number, bool booking);
+  struct shared_state;
+  void run_live_caller(std::uint64_t caller_index);
+  void run_service_caller(std::uint64_t caller_index, bool is_booking);
 
   load_options options_;
-  std::shared_ptr<shared> shared_;
+  std::shared_ptr<shared_state> state_;
   std::vector<std::thread> threads_;
 };
 
-// The value below which the part `p` (0 to 1) of the values lies.
+// Returns the given percentile, as a fraction from 0 to 1, of the values.
 double
-percentile(std::vector<double> values, double p);
+percentile(std::vector<double> values, double fraction);
 
 } // namespace cactusford::bench
--- a/bench/main.cc
+++ b/bench/main.cc
@@ -1,4 +1,5 @@
-// cactusford-bench: the demo, load, experiments and measurements.
+// cactusford-bench: runs the demo, the fault injection, the comparison of
+// policies and the capacity measurement.
 
 #include "bench/capacity.h"
 #include "bench/demo.h"
@@ -18,10 +19,10 @@
 constexpr int exit_usage = 2;
 constexpr const char* usage =
   "COMMAND [OPTIONS]\n\n"
-  "  demo      a deployment, judged by its event logs\n"
-  "  faults    random failures on real processes\n"
-  "  rollout   idle time and staleness under each policy\n"
-  "  capacity  what control costs a process, by the size of the fleet";
+  "  demo      run a deployment and check its event logs\n"
+  "  faults    inject random faults into real processes\n"
+  "  rollout   measure idle time and staleness under each policy\n"
+  "  capacity  measure the control cost of a process, by fleet size";
 
 struct arguments
 {
@@ -35,7 +36,7 @@
 };
 
 std::string
-take(char* text)
+take_string(char* text)
 {
   std::string s = text == nullptr ? "" : text;
   std::free(text);
@@ -71,9 +72,9 @@
   if (!a.policies.empty()) {
     o.policies.clear();
     std::istringstream in{ a.policies };
-    std::string one;
-    while (std::getline(in, one, ',')) {
-      o.policies.push_back(one);
+    std::string policy;
+    while (std::getline(in, policy, ',')) {
+      o.policies.push_back(policy);
     }
   }
   return cactusford::bench::run_rollout(o);
@@ -89,20 +90,25 @@
   return cactusford::bench::run_demo(o);
 }
 
-// Returns what is wrong, or nothing.
+// Returns an error message, or an empty string.
 std::string
-read_arguments(int argc, char** argv, arguments& a)
+parse_arguments(int argc, char** argv, arguments& a)
 {
   char* json = nullptr;
   char* deployment = nullptr;
   char* policies = nullptr;
   char* scenario = nullptr;
-  const std::array<poptOption, 8> table{
+  const std::array<poptOption, 8> options{
     poptOption{
       "seed", 0, POPT_ARG_LONG, &a.seed, 0, "Seed of the first run", "N" },
-    poptOption{ "runs", 0, POPT_ARG_LONG, &a.runs, 0, "How many runs", "N" },
-    poptOption{
-      "json", 0, POPT_ARG_STRING, &json, 0, "Where results go", "FILE" },
+    poptOption{ "runs", 0, POPT_ARG_LONG, &a.runs, 0, "Number of runs", "N" },
+    poptOption{ "json",
+                0,
+                POPT_ARG_STRING,
+                &json,
+                0,
+                "Write results to this file",
+                "FILE" },
     poptOption{ "deployment",
                 0,
                 POPT_ARG_STRING,
@@ -126,23 +132,26 @@
                 "NAME" },
     poptOption POPT_AUTOHELP poptOption POPT_TABLEEND
   };
-  auto* context = poptGetContext(
-    "cactusford-bench", argc, const_cast<const char**>(argv), table.data(), 0);
+  auto* context = poptGetContext("cactusford-bench",
+                                 argc,
+                                 const_cast<const char**>(argv),
+                                 options.data(),
+                                 0);
   poptSetOtherOptionHelp(context, usage);
   const int rc = poptGetNextOpt(context);
-  std::string wrong;
+  std::string error;
   if (rc < -1) {
-    wrong = std::string{ poptBadOption(context, 0) } + ": " + poptStrerror(rc);
+    error = std::string{ poptBadOption(context, 0) } + ": " + poptStrerror(rc);
   }
-  if (const char* word = poptGetArg(context)) {
-    a.command = word;
+  if (const char* argument = poptGetArg(context)) {
+    a.command = argument;
   }
   poptFreeContext(context);
-  a.json = take(json);
-  a.deployment = take(deployment);
-  a.policies = take(policies);
-  a.scenario = take(scenario);
-  return wrong;
+  a.json = take_string(json);
+  a.deployment = take_string(deployment);
+  a.policies = take_string(policies);
+  a.scenario = take_string(scenario);
+  return error;
 }
 
 } // namespace
@@ -151,20 +160,20 @@
 main(int argc, char** argv)
 {
   arguments a;
-  const auto wrong = read_arguments(argc, argv, a);
-  if (wrong.empty() && a.command == "demo") {
+  const auto error = parse_arguments(argc, argv, a);
+  if (error.empty() && a.command == "demo") {
     return demo(a);
   }
-  if (wrong.empty() && a.command == "faults") {
+  if (error.empty() && a.command == "faults") {
     return faults(a);
   }
-  if (wrong.empty() && a.command == "rollout") {
+  if (error.empty() && a.command == "rollout") {
     return rollout(a);
   }
-  if (wrong.empty() && a.command == "capacity") {
+  if (error.empty() && a.command == "capacity") {
     return cactusford::bench::run_capacity({ .json = a.json });
   }
-  std::cerr << (wrong.empty() ? "'" + a.command + "' is no command" : wrong)
+  std::cerr << (error.empty() ? "'" + a.command + "' is not a command" : error)
             << "; see cactusford-bench --help\n";
   return exit_usage;
 }
--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -1,4 +1,5 @@
-// Micro-benchmarks of the pure decisions, at today's size and at the aim's.
+// Micro-benchmarks of the decisions that do no I/O, at the current size of the
+// system and at its target size.
 
 #include "cactusford/admission/queue.h"
 #include "cactusford/calls/record.h"
@@ -14,15 +15,15 @@
 
 namespace {
 
-constexpr std::int64_t today = 9;
-constexpr std::int64_t aim_workers = 11000;
-constexpr std::int64_t aim_slots = 8192;
-constexpr std::int64_t aim_processes = 12100;
-constexpr std::int64_t workspaces_today = 84;
+constexpr std::int64_t current_workers = 9;
+constexpr std::int64_t target_workers = 11000;
+constexpr std::int64_t target_slots = 8192;
+constexpr std::int64_t target_processes = 12100;
+constexpr std::int64_t current_workspaces = 84;
 constexpr std::int64_t many_workspaces = 10000;
 
 routing::pool_state
-pool_of(std::int64_t workers)
+make_pool_state(std::int64_t workers)
 {
   std::vector<routing::target> targets;
   for (std::int64_t i = 0; i < workers; ++i) {
@@ -36,7 +37,7 @@
 void
 route(benchmark::State& state)
 {
-  auto pool = pool_of(state.range(0));
+  auto pool = make_pool_state(state.range(0));
   std::uint64_t key = 1;
   std::uint64_t now = 1;
   while (state.KeepRunning()) {
@@ -50,10 +51,10 @@
     pool.targets.size() * (sizeof(routing::target) + 32) +
     pool.by_hash.points.size() * sizeof(routing::ring::point));
 }
-BENCHMARK(route)->Arg(today)->Arg(1000)->Arg(aim_workers);
+BENCHMARK(route)->Arg(current_workers)->Arg(1000)->Arg(target_workers);
 
 std::vector<platform::object>
-fleet_objects(std::int64_t count)
+make_instances(std::int64_t count)
 {
   std::vector<platform::object> objects;
   for (std::int64_t i = 0; i < count; ++i) {
@@ -71,11 +72,11 @@
   return objects;
 }
 
-// A start: the whole list.
+// Loads all objects into an empty state, as at startup.
 void
 load_configuration(benchmark::State& state)
 {
-  const auto objects = fleet_objects(state.range(0));
+  const auto objects = make_instances(state.range(0));
   while (state.KeepRunning()) {
     configuration::state s;
     benchmark::DoNotOptimize(configuration::merge(s, objects));
@@ -84,15 +85,15 @@
 BENCHMARK(load_configuration)
   ->Arg(17)
   ->Arg(1000)
-  ->Arg(aim_processes)
+  ->Arg(target_processes)
   ->Unit(benchmark::kMillisecond);
 
-// One change while everything is held.
+// Merges one change into a complete state.
 void
 merge_change(benchmark::State& state)
 {
   configuration::state s;
-  configuration::merge(s, fleet_objects(state.range(0)));
+  configuration::merge(s, make_instances(state.range(0)));
   std::uint64_t version = s.max_version;
   while (state.KeepRunning()) {
     const platform::object change{ "trainer",          "t", ++version, false,
@@ -100,13 +101,13 @@
     benchmark::DoNotOptimize(configuration::merge(s, std::span{ &change, 1 }));
   }
 }
-BENCHMARK(merge_change)->Arg(17)->Arg(aim_processes);
+BENCHMARK(merge_change)->Arg(17)->Arg(target_processes);
 
 void
 find_place(benchmark::State& state)
 {
   configuration::state s;
-  configuration::merge(s, fleet_objects(state.range(0)));
+  configuration::merge(s, make_instances(state.range(0)));
   while (state.KeepRunning()) {
     benchmark::DoNotOptimize(
       configuration::place_of(*s.view->instances, "instance-5", "dc5"));
@@ -115,7 +116,7 @@
 BENCHMARK(find_place)
   ->Arg(17)
   ->Arg(1000)
-  ->Arg(aim_processes)
+  ->Arg(target_processes)
   ->Unit(benchmark::kMicrosecond);
 
 void
@@ -168,7 +169,8 @@
 }
 BENCHMARK(admit_key);
 
-// A fetch over a whole step: what the trainer holds, and what is ready.
+// Handles a fetch for a whole step: marks the samples that the trainer already
+// has and finds those that are ready.
 void
 fetch_step(benchmark::State& state)
 {
@@ -183,9 +185,12 @@
     benchmark::DoNotOptimize(rollout::ready_slots(step, 512));
   }
 }
-BENCHMARK(fetch_step)->Arg(128)->Arg(aim_slots)->Unit(benchmark::kMicrosecond);
+BENCHMARK(fetch_step)
+  ->Arg(128)
+  ->Arg(target_slots)
+  ->Unit(benchmark::kMicrosecond);
 
-// Each call of a caller looks its key up.
+// Looks up the API key of a caller, as every call does.
 void
 find_key(benchmark::State& state)
 {
@@ -199,13 +204,13 @@
     }
   }
   const auto d = b.build();
-  std::size_t at = 0;
+  std::size_t index = 0;
   while (state.KeepRunning()) {
-    at = (at + 7919) % keys.size();
-    benchmark::DoNotOptimize(workspaces::find_workspace(d, keys[at]));
+    index = (index + 7919) % keys.size();
+    benchmark::DoNotOptimize(workspaces::find_workspace(d, keys[index]));
   }
 }
-BENCHMARK(find_key)->Arg(workspaces_today)->Arg(many_workspaces);
+BENCHMARK(find_key)->Arg(current_workspaces)->Arg(many_workspaces);
 
 } // namespace
 
--- a/soak/invariant_checker-test.cc
+++ b/soak/invariant_checker-test.cc
@@ -116,10 +116,10 @@
 
 Test(plan, is_the_same_for_the_same_seed)
 {
-  const plan_options o;
-  const auto plan = make_plan(o);
-  cr_assert(plan == make_plan(o));
-  auto other = o;
+  const plan_options options;
+  const auto plan = make_plan(options);
+  cr_assert(plan == make_plan(options));
+  auto other = options;
   other.seed = 2;
   cr_assert(!(plan == make_plan(other)));
   SECTION("faults overlap")
@@ -127,7 +127,7 @@
     std::size_t overlaps = 0;
     for (std::size_t i = 1; i < plan.size(); ++i) {
       overlaps +=
-        plan[i].at_ms < plan[i - 1].at_ms + plan[i - 1].for_ms ? 1 : 0;
+        plan[i].at_ms < plan[i - 1].at_ms + plan[i - 1].duration_ms ? 1 : 0;
     }
     cr_assert_gt(overlaps, plan.size() / 4);
   }
