--- a/bench/load.cc
+++ b/bench/load.cc
@@ -282,7 +282,7 @@
                      { "prompt", prompt },
                      { "max_tokens", options_.max_tokens },
                      { "stream", true } };
-    for (std::uint32_t i = 0; i <= options_.repeats; ++i) {
+    for (std::uint32_t i = 0; i <= options_.max_retries; ++i) {
       auto* c = connection.client(
         options_.entries(), options_.deadline_ms + client_timeout_margin_ms);
       if (c == nullptr) {
@@ -328,7 +328,7 @@
     const auto key = is_booking ? process::new_id() : std::string{};
     const auto text = "seat " + std::to_string(caller_index) + "/" +
                       std::to_string(request_index++) + "/" + process::new_id();
-    for (std::uint32_t i = 0; i <= options_.repeats; ++i) {
+    for (std::uint32_t i = 0; i <= options_.max_retries; ++i) {
       auto* c = connection.client(
         options_.entries(), options_.deadline_ms + client_timeout_margin_ms);
       if (c == nullptr) {
--- a/bench/load.h
+++ b/bench/load.h
@@ -26,7 +26,7 @@
   std::uint32_t max_tokens = 48;
   std::uint32_t deadline_ms = 5000;
   // Retries of a request that was not answered.
-  std::uint32_t repeats = 4;
+  std::uint32_t max_retries = 4;
   std::uint64_t seed = 1;
 };
 
--- a/tests/failure-test.cc
+++ b/tests/failure-test.cc
@@ -137,7 +137,7 @@
     load.model = "planner-lm";
     load.service = "orders-app";
     load.booking_callers = 3;
-    load.repeats = 40;
+    load.max_retries = 40;
     bench::load_generator callers{ load };
     callers.start();
     auto names = fleet.entries();
