--- a/standins/frail_service.cc
+++ b/standins/frail_service.cc
@@ -1,4 +1,4 @@
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 
 #include <asio/steady_timer.hpp>
 
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -7,7 +7,7 @@
 #include "cactusford/http/socket.h"
 #include "cactusford/routes/table.h"
 #include "standins/child.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "standins/object_store.h"
 
 #include <asio/io_context.hpp>
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -2,7 +2,7 @@
 // which crash the servers that score. Entries, store and engines run in one
 // process.
 #include "cactusford/testing/section.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "tests/batches_cluster.h"
 
 using namespace cactusford;
