--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -6,7 +6,7 @@
 
 namespace cactusford::standins {
 
-struct frail_service::server
+struct crashing_service::server
 {
   std::size_t index = 0;
   // Which life it is in; its id is made from both.
@@ -22,9 +22,9 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
 };
 
-frail_service::frail_service(asio::io_context& io,
-                             object_store& store,
-                             frail_options o)
+crashing_service::crashing_service(asio::io_context& io,
+                                   object_store& store,
+                                   frail_options o)
   : io_{ io }
   , store_{ store }
   , options_{ std::move(o) }
@@ -36,10 +36,10 @@
   }
 }
 
-frail_service::~frail_service() = default;
+crashing_service::~crashing_service() = default;
 
 void
-frail_service::start(server& s)
+crashing_service::start(server& s)
 {
   ++s.life;
   s.front = std::make_unique<http::server>(
@@ -59,7 +59,7 @@
 
 // Its entry lapses when the next life announces itself.
 void
-frail_service::end(server& s)
+crashing_service::end(server& s)
 {
   s.front->close();
   after(options_.down_ms, [this, &s, id = s.id()] {
@@ -73,13 +73,13 @@
 }
 
 void
-frail_service::end_server(std::size_t index)
+crashing_service::end_server(std::size_t index)
 {
   end(*servers_.at(index));
 }
 
 void
-frail_service::reset_server(std::size_t index)
+crashing_service::reset_server(std::size_t index)
 {
   auto& s = *servers_.at(index);
   s.front->close();
@@ -91,7 +91,7 @@
 }
 
 bool
-frail_service::all_up() const
+crashing_service::all_up() const
 {
   return std::all_of(servers_.begin(), servers_.end(), [](const auto& s) {
     return s->front->port() != 0;
@@ -99,7 +99,7 @@
 }
 
 void
-frail_service::serve(server& s, const http::call& c)
+crashing_service::serve(server& s, const http::call& c)
 {
   const auto& r = c.request();
   if (http::find(r.fields, "Expect").value_or(s.id()) != s.id()) {
@@ -126,7 +126,7 @@
 }
 
 void
-frail_service::after(std::uint64_t ms, std::function<void()> run)
+crashing_service::after(std::uint64_t ms, std::function<void()> run)
 {
   auto t =
     std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{ ms });
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -30,11 +30,11 @@
   };
 };
 
-class frail_service
+class crashing_service
 {
 public:
-  frail_service(asio::io_context& io, object_store& store, frail_options o);
-  ~frail_service();
+  crashing_service(asio::io_context& io, object_store& store, frail_options o);
+  ~crashing_service();
 
   // A server ends for a cause of its own.
   void end_server(std::size_t index);
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -29,7 +29,7 @@
 namespace cactusford::testing {
 
 using nlohmann::json;
-using standins::frail_service;
+using standins::crashing_service;
 using standins::object_store;
 
 constexpr const char* entry_program =
@@ -60,7 +60,7 @@
   asio::io_context io;
   http::client http{ io };
   object_store store{ io };
-  frail_service service;
+  crashing_service service;
   std::vector<entry_process> entries;
   std::string folder;
   int next_id = 0;
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -181,7 +181,7 @@
     }
     return is_fatal;
   };
-  standins::frail_service scorers{ w.io, w.store, o };
+  standins::crashing_service scorers{ w.io, w.store, o };
   store::watcher backend_watcher{
     e.io,
     e.store,
