--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -24,7 +24,7 @@
 
 crashing_service::crashing_service(asio::io_context& io,
                                    object_store& store,
-                                   frail_options o)
+                                   crashing_service_options o)
   : io_{ io }
   , store_{ store }
   , options_{ std::move(o) }
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -16,7 +16,7 @@
 
 namespace cactusford::standins {
 
-struct frail_options
+struct crashing_service_options
 {
   std::string service = "calls";
   std::size_t servers = 4;
@@ -33,7 +33,9 @@
 class crashing_service
 {
 public:
-  crashing_service(asio::io_context& io, object_store& store, frail_options o);
+  crashing_service(asio::io_context& io,
+                   object_store& store,
+                   crashing_service_options o);
   ~crashing_service();
 
   // A server ends for a cause of its own.
@@ -59,7 +61,7 @@
 
   asio::io_context& io_;
   object_store& store_;
-  frail_options options_;
+  crashing_service_options options_;
   std::vector<std::unique_ptr<server>> servers_;
   std::vector<std::string> runs_;
   std::size_t ends_ = 0;
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -170,7 +170,7 @@
   auto& e = *w.entries[0];
   backends::drop(e.registry, "s1");
   e.quarantine_manager.start();
-  standins::frail_options o;
+  standins::crashing_service_options o;
   o.service = "scorers";
   std::set<std::string> poison_bodies;
   o.is_fatal = [&](const http::request& r) {
