--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -112,7 +112,7 @@
     if (s.life != life || s.front->port() == 0 || !c.is_open()) {
       return;
     }
-    if (options_.is_fatal(c.request())) {
+    if (options_.is_poison(c.request())) {
       ++ends_;
       end(s);
       return;
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -25,7 +25,7 @@
   // From the end of a server to its next life.
   std::uint64_t down_ms = 400;
   // True for a request that ends the server that runs it.
-  std::function<bool(const http::request&)> is_fatal = [](const auto&) {
+  std::function<bool(const http::request&)> is_poison = [](const auto&) {
     return false;
   };
 };
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -173,13 +173,13 @@
   standins::crashing_service_options o;
   o.service = "scorers";
   std::set<std::string> poison_bodies;
-  o.is_fatal = [&](const http::request& r) {
-    const bool is_fatal =
+  o.is_poison = [&](const http::request& r) {
+    const bool is_poison =
       http::find(r.fields, "Id").value_or("") == "score-item0";
-    if (is_fatal) {
+    if (is_poison) {
       poison_bodies.insert(r.body);
     }
-    return is_fatal;
+    return is_poison;
   };
   standins::crashing_service scorers{ w.io, w.store, o };
   store::watcher backend_watcher{
