--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -79,7 +79,7 @@
 }
 
 void
-crashing_service::reset_server(std::size_t index)
+crashing_service::reset_connections(std::size_t index)
 {
   auto& s = *servers_.at(index);
   s.front->close();
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -42,7 +42,7 @@
   void end_server(std::size_t index);
 
   // Resets all connections of a server, which lives on.
-  void reset_server(std::size_t index);
+  void reset_connections(std::size_t index);
 
   // Bodies of all requests that were begun, in their order.
   const std::vector<std::string>& runs() const { return runs_; }
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -256,7 +256,7 @@
   constexpr std::size_t servers = 4;
   for (std::size_t round = 0; round < rounds; ++round) {
     for (std::size_t s = 0; s < servers; ++s) {
-      c.service.reset_server(s);
+      c.service.reset_connections(s);
     }
     c.run_for(100);
     if (round % 2 == 0) {
