--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -91,7 +91,7 @@
 }
 
 bool
-crashing_service::all_up() const
+crashing_service::all_running() const
 {
   return std::all_of(servers_.begin(), servers_.end(), [](const auto& s) {
     return s->front->port() != 0;
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -50,7 +50,7 @@
   // Servers that a fatal request has ended.
   std::size_t ends() const { return ends_; }
 
-  bool all_up() const;
+  bool all_running() const;
 
 private:
   struct server;
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -228,7 +228,7 @@
 
   void wait_for_servers()
   {
-    run_until([this] { return service.all_up(); });
+    run_until([this] { return service.all_running(); });
     // Entries coalesce changes of backend servers before they refresh the list.
     constexpr std::uint64_t propagation_ms = 800;
     run_for(propagation_ms);
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -267,7 +267,7 @@
       }
     }
     // Continue before the entries learn of the new incarnations.
-    c.run_until([&c] { return c.service.all_up(); });
+    c.run_until([&c] { return c.service.all_running(); });
     c.run_for(100);
   }
   healthy.stop();
