--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -48,7 +48,7 @@
   const std::vector<std::string>& runs() const { return runs_; }
 
   // Servers that a fatal request has ended.
-  std::size_t ends() const { return ends_; }
+  std::size_t crashes() const { return ends_; }
 
   bool all_running() const;
 
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -204,10 +204,10 @@
   auto j = json::parse(submission(6));
   j["items"][0]["scorer_body"] = "fatal";
   cr_assert_eq(w.call(e, "POST", j.dump()), 202);
-  w.run_until([&] { return scorers.ends() >= 3; });
+  w.run_until([&] { return scorers.crashes() >= 3; });
   const auto until = http::now_ms() + 3000;
   w.run_until([&] { return http::now_ms() >= until; });
-  cr_assert_leq(scorers.ends(), max_crashes);
+  cr_assert_leq(scorers.crashes(), max_crashes);
   cr_assert(poison_bodies == std::set<std::string>{ "fatal" },
             "each run must get the bytes that were submitted");
   const auto page = w.read(e);
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -30,8 +30,8 @@
             const std::string& target = "/look/",
             const std::string& key = {})
 {
-  const auto before = c.service.ends();
-  for (std::size_t at = 0; c.service.ends() < before + crashes_to_quarantine;
+  const auto before = c.service.crashes();
+  for (std::size_t at = 0; c.service.crashes() < before + crashes_to_quarantine;
        ++at) {
     c.wait_for_servers();
     c.call(at % c.entries.size(), poison_body, target, key);
@@ -149,7 +149,7 @@
     return is_store_down && is_report_write ? object_store::fault::refuse
                                             : object_store::fault::none;
   };
-  while (c.service.ends() < crashes_to_quarantine) {
+  while (c.service.crashes() < crashes_to_quarantine) {
     c.wait_for_servers();
     c.call(0, poison_body);
   }
