--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -98,7 +98,7 @@
       return;
     }
     const bool first_run = runs.back().resumed_at == 0;
-    if (next == cut_inside_event && first_run) {
+    if (next == abort_inside_event && first_run) {
       c.write("id: " + std::to_string(next) + "\nda");
       --streaming;
       c.abort();
--- a/standins/stream_engine.h
+++ b/standins/stream_engine.h
@@ -26,7 +26,7 @@
   std::uint64_t gap_ms = 5;
   std::uint64_t version = 1;
   // Ends the stream in the middle of event n of an item's first run; 0: never.
-  std::uint64_t cut_inside_event = 0;
+  std::uint64_t abort_inside_event = 0;
   // It ends, and all its runs with it.
   void end();
 
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -221,7 +221,7 @@
 Test(batches, resumes_a_cut_stream_behind_the_last_whole_event)
 {
   batch_cluster cluster{ 1 };
-  cluster.engine.cut_inside_event = 3;
+  cluster.engine.abort_inside_event = 3;
   cluster.call(*cluster.entries[0], "POST", submission(1));
   check_results(cluster.read_all(*cluster.entries[0], 1), cluster.engine);
   cr_assert_eq(cluster.engine.runs.size(), 2);
