--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -371,7 +371,7 @@
     const auto r = perform(w.call);
     const bool over = http::now_ms() >= w.until_ms;
     if (!r.changes.empty() || r.result != store::call_result::done || over) {
-      w.caller.respond({ 200, {}, encode_reply(r, texts_for_objects) });
+      w.caller.respond({ 200, {}, encode_reply(r, objects_sent_as_text) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
     }
@@ -420,7 +420,7 @@
     unanswered_.push_back(c);
     return;
   }
-  c.respond({ 200, {}, encode_reply(r, texts_for_objects) });
+  c.respond({ 200, {}, encode_reply(r, objects_sent_as_text) });
 }
 
 store::reply
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -45,7 +45,7 @@
   // What other writers leave. Where `bad_byte` stands in a text, answers hold a
   // byte that is no UTF-8; objects of these names are answered as a text.
   static constexpr std::string_view bad_byte = "<bad byte>";
-  std::set<std::string> texts_for_objects;
+  std::set<std::string> objects_sent_as_text;
 
   // Drops all history and ends the waiting watches, as when it is compacted.
   void compact();
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -602,7 +602,7 @@
   batch_cluster cluster{ 1 };
   auto& e = *cluster.entries[0];
   cluster.store.page_size = 2;
-  cluster.store.texts_for_objects = { "b", "e" };
+  cluster.store.objects_sent_as_text = { "b", "e" };
   for (const auto* name : { "a", "b", "c", "d", "e", "f" }) {
     cluster.store.put("things", name, { { "x", 1 } });
   }
