--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -96,9 +96,10 @@
       { { "object", shown(c.value) }, { "deleted", c.deleted } });
   }
   auto text = j.dump();
-  for (auto at = text.find(object_store::bad_byte); at != std::string::npos;
-       at = text.find(object_store::bad_byte, at)) {
-    text.replace(at, object_store::bad_byte.size(), "\xff");
+  for (auto at = text.find(object_store::invalid_byte_marker);
+       at != std::string::npos;
+       at = text.find(object_store::invalid_byte_marker, at)) {
+    text.replace(at, object_store::invalid_byte_marker.size(), "\xff");
   }
   return text;
 }
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -42,9 +42,10 @@
   // Objects of a kind in the order of their names.
   std::vector<store::object> all(const std::string& kind) const;
 
-  // What other writers leave. Where `bad_byte` stands in a text, answers hold a
-  // byte that is no UTF-8; objects of these names are answered as a text.
-  static constexpr std::string_view bad_byte = "<bad byte>";
+  // What other writers leave. Where `invalid_byte_marker` stands in a text,
+  // answers hold a byte that is no UTF-8; objects of these names are answered
+  // as a text.
+  static constexpr std::string_view invalid_byte_marker = "<bad byte>";
   std::set<std::string> objects_sent_as_text;
 
   // Drops all history and ends the waiting watches, as when it is compacted.
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -606,7 +606,7 @@
   for (const auto* name : { "a", "b", "c", "d", "e", "f" }) {
     cluster.store.put("things", name, { { "x", 1 } });
   }
-  const std::string bad{ object_store::bad_byte };
+  const std::string bad{ object_store::invalid_byte_marker };
   cluster.store.put("things", "d", { { "x", bad } });
   std::set<std::string> shown;
   std::set<std::string> broken;
