--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -122,7 +122,7 @@
 {
   fixture f;
   bool is_down = true;
-  f.store.faults = [&](const store::call& c) {
+  f.store.inject_fault = [&](const store::call& c) {
     return is_down && c.op == store::operation::create
              ? object_store::fault::refuse
              : object_store::fault::none;
@@ -148,7 +148,7 @@
 {
   fixture f;
   bool lose_next = true;
-  f.store.faults = [&](const store::call& c) {
+  f.store.inject_fault = [&](const store::call& c) {
     const bool now = lose_next && c.op == store::operation::create;
     lose_next = lose_next && !now;
     return now ? object_store::fault::lose_answer : object_store::fault::none;
--- a/soak/world.cc
+++ b/soak/world.cc
@@ -165,7 +165,7 @@
 {
   std::filesystem::create_directories(options_.folder);
   service_.listen("127.0.0.1:0");
-  store_.faults = [this](const store::call& c) {
+  store_.inject_fault = [this](const store::call& c) {
     using fault = standins::object_store::fault;
     constexpr std::uint64_t lost_of = 3;
     const bool write = c.op != store::operation::watch &&
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -117,7 +117,7 @@
 {
   batch_cluster cluster{ 1 };
   std::map<std::string, int> lost;
-  cluster.store.faults = [&](const store::call& c) {
+  cluster.store.inject_fault = [&](const store::call& c) {
     const bool write = c.op == store::operation::create;
     return write && lost[c.kind]++ == 0 ? object_store::fault::lose_answer
                                         : object_store::fault::none;
@@ -134,7 +134,7 @@
 Test(batches, does_not_deny_results_of_a_write_that_is_not_settled)
 {
   batch_cluster cluster{ 1 };
-  cluster.store.faults = [&](const store::call& c) {
+  cluster.store.inject_fault = [&](const store::call& c) {
     const bool results =
       c.op == store::operation::create && c.kind == batches::chunk_kind;
     return results ? object_store::fault::lose_answer
@@ -191,13 +191,13 @@
 Test(batches, refuses_submissions_that_it_cannot_store)
 {
   batch_cluster cluster{ 1 };
-  cluster.store.faults = [](const store::call&) {
+  cluster.store.inject_fault = [](const store::call&) {
     return object_store::fault::refuse;
   };
   cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(4)), 503);
   SECTION("also if a part of the submission may be stored: a part runs nothing")
   {
-    cluster.store.faults = [](const store::call& c) {
+    cluster.store.inject_fault = [](const store::call& c) {
       return c.kind == batches::part_kind ? object_store::fault::silent
                                           : object_store::fault::none;
     };
@@ -206,7 +206,7 @@
   }
   SECTION("but not if the write of the batch object may have been applied")
   {
-    cluster.store.faults = [](const store::call& c) {
+    cluster.store.inject_fault = [](const store::call& c) {
       return c.kind == batches::batch_kind ? object_store::fault::silent
                                            : object_store::fault::none;
     };
@@ -360,13 +360,13 @@
   cluster.engine.events = 100000;
   cluster.call(*cluster.entries[0], "POST", submission(2));
   cluster.run_until([&] { return cluster.engine.streaming == 2; });
-  cluster.store.faults = [](const store::call&) {
+  cluster.store.inject_fault = [](const store::call&) {
     return object_store::fault::silent;
   };
   constexpr std::uint64_t away_ms = 5000;
   const auto back = http::now_ms() + away_ms;
   cluster.run_until([&] { return http::now_ms() >= back; });
-  cluster.store.faults = nullptr;
+  cluster.store.inject_fault = nullptr;
   const auto calls = cluster.store.calls();
   cluster.run_until([&] { return cluster.store.calls() > calls + 20; });
   cr_assert_eq(cluster.owner(), "entry-0");
@@ -385,7 +385,7 @@
   cluster.call(runner, "POST", submission(1), "batch-0");
   cluster.wait_until_seen(runner);
   int parts_read = 0;
-  cluster.store.faults = [&](const store::call& c) {
+  cluster.store.inject_fault = [&](const store::call& c) {
     const bool reads = c.op == store::operation::get;
     parts_read += reads && c.kind == batches::part_kind ? 1 : 0;
     return object_store::fault::none;
@@ -428,7 +428,7 @@
   cluster.call(runner, "POST", submission(1), "batch-0");
   cluster.wait_until_seen(runner);
   runner.ignores_submissions = true;
-  cluster.store.faults = [](const store::call& c) {
+  cluster.store.inject_fault = [](const store::call& c) {
     return c.op == store::operation::create ? object_store::fault::refuse
                                             : object_store::fault::none;
   };
@@ -520,7 +520,7 @@
 Test(batches, removes_the_parts_of_a_batch_that_was_refused)
 {
   batch_cluster cluster{ 1 };
-  cluster.store.faults = [](const store::call& c) {
+  cluster.store.inject_fault = [](const store::call& c) {
     const bool head =
       c.op == store::operation::create && c.kind == batches::batch_kind;
     return head ? object_store::fault::refuse : object_store::fault::none;
@@ -568,13 +568,13 @@
   put_ended_batch(cluster, 2);
   auto& e = cluster.add_entry("entry-0");
   cluster.run_until([&] { return e.watcher->is_current(); });
-  cluster.store.faults = [](const store::call& c) {
+  cluster.store.inject_fault = [](const store::call& c) {
     return c.kind == batches::chunk_kind ? object_store::fault::refuse
                                          : object_store::fault::none;
   };
   cr_assert_not(cluster.denies_results(e));
   cr_assert_not(cluster.denies_results(e));
-  cluster.store.faults = nullptr;
+  cluster.store.inject_fault = nullptr;
   cr_assert_eq(cluster.read_all(e, 2).size(), 2);
 }
 
@@ -642,7 +642,7 @@
 Test(watcher, lists_again_after_its_watch_was_cut)
 {
   batch_cluster cluster{ 1 };
-  cluster.store.faults = [&](const store::call& c) {
+  cluster.store.inject_fault = [&](const store::call& c) {
     return c.op == store::operation::watch ? object_store::fault::silent
                                            : object_store::fault::none;
   };
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -144,7 +144,7 @@
   cluster c{ "away", 2 };
   cr_assert_eq(c.call(0, "other").value.status, 200);
   bool is_store_down = true;
-  c.store.faults = [&](const store::call& call) {
+  c.store.inject_fault = [&](const store::call& call) {
     const bool is_report_write = call.op == store::operation::create;
     return is_store_down && is_report_write ? object_store::fault::refuse
                                             : object_store::fault::none;
--- a/tests/store-test.cc
+++ b/tests/store-test.cc
@@ -80,7 +80,7 @@
   // The first two instances are relays.
   explicit cluster(std::size_t count)
   {
-    store.faults = [this](const store::call& c) {
+    store.inject_fault = [this](const store::call& c) {
       watches[c.kind] += c.op == store::operation::watch ? 1 : 0;
       return object_store::fault::none;
     };
@@ -188,15 +188,15 @@
       return i->watcher->is_current();
     });
   });
-  nodes.store.faults = [](const store::call&) {
+  nodes.store.inject_fault = [](const store::call&) {
     return object_store::fault::silent;
   };
   constexpr std::uint64_t silent_ms = 2650;
   const auto back = http::now_ms() + silent_ms;
   nodes.run_until([&] { return http::now_ms() >= back; });
-  nodes.store.faults = nullptr;
+  nodes.store.inject_fault = nullptr;
   int calls = 0;
-  nodes.store.faults = [&](const store::call& c) {
+  nodes.store.inject_fault = [&](const store::call& c) {
     calls += c.op == store::operation::list ? 1 : 0;
     return object_store::fault::none;
   };
--- a/tests/workspaces-test.cc
+++ b/tests/workspaces-test.cc
@@ -63,11 +63,11 @@
   process_cluster cluster{ "behind", 1 };
   cluster.configure(2, second_key);
   wait_for_status(cluster, "", 401);
-  cluster.store.faults = [](const store::call&) {
+  cluster.store.inject_fault = [](const store::call&) {
     return object_store::fault::silent;
   };
   wait_for_status(cluster, "key-new", 503);
   cr_assert_eq(cluster.call(0, "other", "/look/", "key-two").value.status, 200);
-  cluster.store.faults = nullptr;
+  cluster.store.inject_fault = nullptr;
   wait_for_status(cluster, "key-new", 401);
 }
