--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -402,7 +402,7 @@
   }
   const auto call = call_from(j);
   ++calls_;
-  const auto f = faults ? faults(call) : fault::none;
+  const auto f = inject_fault ? inject_fault(call) : fault::none;
   if (f == fault::refuse) {
     c.respond({ 503, {}, "" });
     return;
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -62,7 +62,7 @@
     // Not done and not answered.
     silent,
   };
-  std::function<fault(const store::call&)> faults;
+  std::function<fault(const store::call&)> inject_fault;
 
   // Objects in one answer to a list.
   std::size_t page_size = 500;
