--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -407,7 +407,7 @@
     c.respond({ 503, {}, "" });
     return;
   }
-  if (f == fault::silent) {
+  if (f == fault::drop_request) {
     unanswered_.push_back(c);
     return;
   }
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -60,7 +60,7 @@
     // Done, but not answered.
     lose_answer,
     // Not done and not answered.
-    silent,
+    drop_request,
   };
   std::function<fault(const store::call&)> inject_fault;
 
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -198,7 +198,7 @@
   SECTION("also if a part of the submission may be stored: a part runs nothing")
   {
     cluster.store.inject_fault = [](const store::call& c) {
-      return c.kind == batches::part_kind ? object_store::fault::silent
+      return c.kind == batches::part_kind ? object_store::fault::drop_request
                                           : object_store::fault::none;
     };
     cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(4)), 503);
@@ -207,7 +207,7 @@
   SECTION("but not if the write of the batch object may have been applied")
   {
     cluster.store.inject_fault = [](const store::call& c) {
-      return c.kind == batches::batch_kind ? object_store::fault::silent
+      return c.kind == batches::batch_kind ? object_store::fault::drop_request
                                            : object_store::fault::none;
     };
     cr_assert_eq(cluster.call(*cluster.entries[0], "POST", submission(4)), 504);
@@ -361,7 +361,7 @@
   cluster.call(*cluster.entries[0], "POST", submission(2));
   cluster.run_until([&] { return cluster.engine.streaming == 2; });
   cluster.store.inject_fault = [](const store::call&) {
-    return object_store::fault::silent;
+    return object_store::fault::drop_request;
   };
   constexpr std::uint64_t away_ms = 5000;
   const auto back = http::now_ms() + away_ms;
@@ -643,7 +643,7 @@
 {
   batch_cluster cluster{ 1 };
   cluster.store.inject_fault = [&](const store::call& c) {
-    return c.op == store::operation::watch ? object_store::fault::silent
+    return c.op == store::operation::watch ? object_store::fault::drop_request
                                            : object_store::fault::none;
   };
   cluster.store.compact();
--- a/tests/store-test.cc
+++ b/tests/store-test.cc
@@ -189,7 +189,7 @@
     });
   });
   nodes.store.inject_fault = [](const store::call&) {
-    return object_store::fault::silent;
+    return object_store::fault::drop_request;
   };
   constexpr std::uint64_t silent_ms = 2650;
   const auto back = http::now_ms() + silent_ms;
--- a/tests/workspaces-test.cc
+++ b/tests/workspaces-test.cc
@@ -64,7 +64,7 @@
   cluster.configure(2, second_key);
   wait_for_status(cluster, "", 401);
   cluster.store.inject_fault = [](const store::call&) {
-    return object_store::fault::silent;
+    return object_store::fault::drop_request;
   };
   wait_for_status(cluster, "key-new", 503);
   cr_assert_eq(cluster.call(0, "other", "/look/", "key-two").value.status, 200);
