--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -151,7 +151,7 @@
   f.store.inject_fault = [&](const store::call& c) {
     const bool now = lose_next && c.op == store::operation::create;
     lose_next = lose_next && !now;
-    return now ? object_store::fault::lose_answer : object_store::fault::none;
+    return now ? object_store::fault::drop_response : object_store::fault::none;
   };
   instance a{ f.io, f.store.address(), { "a", false } };
   f.run_until([&] { return a.manager.is_current(); });
--- a/soak/world.cc
+++ b/soak/world.cc
@@ -175,7 +175,7 @@
       return fault::refuse;
     }
     const bool lose = losing_ && write && random_() % lost_of == 0;
-    return lose ? fault::lose_answer : fault::none;
+    return lose ? fault::drop_response : fault::none;
   };
   reserved_ports ports{ io_ };
   for (std::size_t i = 0; i < options_.plan.engines; ++i) {
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -417,7 +417,7 @@
     return;
   }
   const auto r = perform(call);
-  if (f == fault::lose_answer) {
+  if (f == fault::drop_response) {
     unanswered_.push_back(c);
     return;
   }
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -58,7 +58,7 @@
     // Nothing is done: 503.
     refuse,
     // Done, but not answered.
-    lose_answer,
+    drop_response,
     // Not done and not answered.
     drop_request,
   };
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -119,7 +119,7 @@
   std::map<std::string, int> lost;
   cluster.store.inject_fault = [&](const store::call& c) {
     const bool write = c.op == store::operation::create;
-    return write && lost[c.kind]++ == 0 ? object_store::fault::lose_answer
+    return write && lost[c.kind]++ == 0 ? object_store::fault::drop_response
                                         : object_store::fault::none;
   };
   cluster.call(*cluster.entries[0], "POST", submission(4));
@@ -137,7 +137,7 @@
   cluster.store.inject_fault = [&](const store::call& c) {
     const bool results =
       c.op == store::operation::create && c.kind == batches::chunk_kind;
-    return results ? object_store::fault::lose_answer
+    return results ? object_store::fault::drop_response
                    : object_store::fault::none;
   };
   cluster.call(*cluster.entries[0], "POST", submission(2));
