--- a/bench/demo.cc
+++ b/bench/demo.cc
@@ -142,7 +142,7 @@
     const int code = fleet.wait_exit("trainers", trainers_limit_ms);
     callers.stop();
     std::this_thread::sleep_for(std::chrono::milliseconds{ settle_ms });
-    std::cout << fleet.operate({ "status" }).second;
+    std::cout << fleet.run_operator_command({ "status" }).second;
     if (code != 0) {
       return failed("the trainers did not end their steps");
     }
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -504,7 +504,7 @@
 }
 
 std::pair<int, std::string>
-fleet::operate(const std::vector<std::string>& words)
+fleet::run_operator_command(const std::vector<std::string>& words)
 {
   std::vector<std::string> line{ options_.programs + "/cactusford" };
   for (const auto& e : entries()) {
@@ -526,8 +526,8 @@
 std::string
 fleet::apply_declarations()
 {
-  const auto [code, text] =
-    operate({ "apply", "-f", options_.deployment + "/declarations" });
+  const auto [code, text] = run_operator_command(
+    { "apply", "-f", options_.deployment + "/declarations" });
   return code == 0 ? std::string{} : "apply: " + text;
 }
 
@@ -542,7 +542,7 @@
   std::ofstream{ path } << json{ { "kind", kind },
                                  { "name", name },
                                  { "spec", spec } };
-  const auto [code, text] = operate({ "apply", "-f", path });
+  const auto [code, text] = run_operator_command({ "apply", "-f", path });
   return code == 0 ? std::string{} : "apply: " + text;
 }
 
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -88,7 +88,8 @@
   const std::string& folder() const { return options_.folder; }
 
   // Runs the operators' command; returns its exit code and output.
-  std::pair<int, std::string> operate(const std::vector<std::string>& words);
+  std::pair<int, std::string> run_operator_command(
+    const std::vector<std::string>& words);
 
 private:
   struct process
--- a/tests/path-test.cc
+++ b/tests/path-test.cc
@@ -87,14 +87,14 @@
   {
     fleet.start_trainers(1);
     cr_assert_eq(fleet.wait_exit("trainers", 60000), 0);
-    const auto [code, text] = fleet.operate({ "get", "weights" });
+    const auto [code, text] = fleet.run_operator_command({ "get", "weights" });
     cr_assert_eq(code, 0);
     cr_assert(
       text.find(R"("version":2)") != std::string::npos, "%s", text.c_str());
   }
   SECTION("the status command lists all processes")
   {
-    const auto [code, text] = fleet.operate({ "status" });
+    const auto [code, text] = fleet.run_operator_command({ "status" });
     cr_assert_eq(code, 0);
     cr_assert(
       text.find("in force on 8 of 8") != std::string::npos, "%s", text.c_str());
@@ -113,8 +113,8 @@
   std::ofstream{ file } << json{ { "kind", "trainer" },
                                  { "name", "plans" },
                                  { "spec", { { "model", "x" } } } };
-  const auto [code, text] =
-    fleet.operate({ "apply", "-f", file, "--expected-version", "1" });
+  const auto [code, text] = fleet.run_operator_command(
+    { "apply", "-f", file, "--expected-version", "1" });
   cr_assert_eq(code, 3, "%s", text.c_str());
   cr_assert(text.find("conflict") != std::string::npos);
   cr_assert(text.find("cactusford get") != std::string::npos);
