--- a/bench/faults.cc
+++ b/bench/faults.cc
@@ -178,7 +178,7 @@
         break;
       case 7:
         note("lose_answers", "platform");
-        fleet_.platform_fault({ { "lose_answers", draw(1, 4) } });
+        fleet_.inject_platform_fault({ { "lose_answers", draw(1, 4) } });
         break;
       case 8:
         stale_reads();
@@ -265,7 +265,7 @@
   void outage()
   {
     note("outage", "platform");
-    fleet_.platform_fault({ { "outage", true } });
+    fleet_.inject_platform_fault({ { "outage", true } });
     const auto name = any_daemon();
     const auto other = draw(0, 3);
     rest(draw(200, 1500));
@@ -277,15 +277,15 @@
       stop_gracefully(name);
     }
     rest(draw(200, 2500));
-    fleet_.platform_fault({ { "outage", false } });
+    fleet_.inject_platform_fault({ { "outage", false } });
   }
 
   void stale_reads()
   {
     note("stale", "platform");
-    fleet_.platform_fault({ { "stale_by", draw(1, 20) } });
+    fleet_.inject_platform_fault({ { "stale_by", draw(1, 20) } });
     rest(draw(200, 1000));
-    fleet_.platform_fault({ { "stale_by", 0 } });
+    fleet_.inject_platform_fault({ { "stale_by", 0 } });
   }
 
   void swap_faults()
@@ -329,10 +329,10 @@
 
   void heal()
   {
-    fleet_.platform_fault({ { "outage", false },
-                            { "slow_ms", 0 },
-                            { "lose_answers", 0 },
-                            { "stale_by", 0 } });
+    fleet_.inject_platform_fault({ { "outage", false },
+                                   { "slow_ms", 0 },
+                                   { "lose_answers", 0 },
+                                   { "stale_by", 0 } });
     balance();
   }
 
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -473,7 +473,7 @@
 }
 
 void
-fleet::platform_fault(const json& faults)
+fleet::inject_platform_fault(const json& faults)
 {
   post(address("platform", "platform"), "/control/faults", faults);
 }
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -75,7 +75,7 @@
   void mark_gone(const std::string& name);
   void mark_live(const std::string& name);
 
-  void platform_fault(const nlohmann::json& faults);
+  void inject_platform_fault(const nlohmann::json& faults);
   void backend_fault(const std::string& backend, const nlohmann::json& faults);
 
   std::vector<std::string> entries() const;
--- a/tests/failure-test.cc
+++ b/tests/failure-test.cc
@@ -179,7 +179,7 @@
   const auto options = small_fleet("outage");
   standins::fleet fleet{ options };
   start_and_wait_until_served(fleet);
-  fleet.platform_fault({ { "outage", true } });
+  fleet.inject_platform_fault({ { "outage", true } });
   fleet.signal("entry-0", SIGKILL);
   const auto error = fleet.restart("entry-0");
   cr_assert(error.empty(), "%s", error.c_str());
