--- a/bench/faults.cc
+++ b/bench/faults.cc
@@ -292,7 +292,7 @@
   {
     const auto engine = any_engine();
     note("swap", engine);
-    fleet_.backend_fault(
+    fleet_.inject_backend_fault(
       engine,
       { { draw(0, 1) == 0 ? "fail_swaps" : "lose_swap_answers", draw(1, 2) } });
   }
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -479,7 +479,7 @@
 }
 
 void
-fleet::backend_fault(const std::string& backend, const json& faults)
+fleet::inject_backend_fault(const std::string& backend, const json& faults)
 {
   post(address_of_backend(backend), "/control/faults", faults);
 }
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -76,7 +76,8 @@
   void mark_live(const std::string& name);
 
   void inject_platform_fault(const nlohmann::json& faults);
-  void backend_fault(const std::string& backend, const nlohmann::json& faults);
+  void inject_backend_fault(const std::string& backend,
+                            const nlohmann::json& faults);
 
   std::vector<std::string> entries() const;
   std::vector<std::string> sidecars(const std::string& serves) const;
