--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -120,13 +120,13 @@
     unanswered_.push_back(c);
     return;
   }
-  r.taken = r.expected_orders == orders;
+  r.accepted = r.expected_orders == orders;
   log.push_back(r);
-  if (r.taken) {
+  if (r.accepted) {
     ++orders;
     version = r.version;
   }
-  c.respond({ r.taken ? 202 : 409, {}, "" });
+  c.respond({ r.accepted ? 202 : 409, {}, "" });
 }
 
 } // namespace cactusford::standins
--- a/standins/order_engine.h
+++ b/standins/order_engine.h
@@ -40,7 +40,7 @@
   {
     std::uint64_t version = 0;
     std::uint64_t expected_orders = 0;
-    bool taken = false;
+    bool accepted = false;
   };
   std::vector<received> log;
 
--- a/tests/loader-test.cc
+++ b/tests/loader-test.cc
@@ -45,7 +45,7 @@
   {
     return static_cast<std::size_t>(
       std::count_if(engine.log.begin(), engine.log.end(), [&](const auto& r) {
-        return !r.taken;
+        return !r.accepted;
       }));
   }
 };
