--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -116,12 +116,12 @@
   r.version = j.at("version").get<std::uint64_t>();
   r.expected_orders = j.at("expected_orders").get<std::uint64_t>();
   if (std::exchange(lose_order, false)) {
-    log.push_back(r);
+    received_orders.push_back(r);
     unanswered_.push_back(c);
     return;
   }
   r.accepted = r.expected_orders == orders;
-  log.push_back(r);
+  received_orders.push_back(r);
   if (r.accepted) {
     ++orders;
     version = r.version;
--- a/standins/order_engine.h
+++ b/standins/order_engine.h
@@ -42,7 +42,7 @@
     std::uint64_t expected_orders = 0;
     bool accepted = false;
   };
-  std::vector<received> log;
+  std::vector<received> received_orders;
 
 private:
   void serve(const http::call& c);
--- a/tests/loader-test.cc
+++ b/tests/loader-test.cc
@@ -44,9 +44,9 @@
   std::size_t refused() const
   {
     return static_cast<std::size_t>(
-      std::count_if(engine.log.begin(), engine.log.end(), [&](const auto& r) {
-        return !r.accepted;
-      }));
+      std::count_if(engine.received_orders.begin(),
+                    engine.received_orders.end(),
+                    [&](const auto& r) { return !r.accepted; }));
   }
 };
 
@@ -63,11 +63,11 @@
   fixture.engine.lose_order = true;
   fixture.loader.on_published({ "m", 3 }, 10);
   fixture.loader.start();
-  fixture.run_until([&] { return fixture.engine.log.size() == 1; });
-  cr_assert_eq(fixture.engine.log.front().expected_orders, 3);
+  fixture.run_until([&] { return fixture.engine.received_orders.size() == 1; });
+  cr_assert_eq(fixture.engine.received_orders.front().expected_orders, 3);
   fixture.engine.restart();
   fixture.run_until([&] { return fixture.engine.version == 3; });
-  cr_assert_eq(fixture.engine.log.back().expected_orders, 0);
+  cr_assert_eq(fixture.engine.received_orders.back().expected_orders, 0);
   cr_assert_eq(fixture.refused(), 1, "only the lost order was refused");
 }
 
