--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -77,7 +77,7 @@
 void
 stream_engine::end()
 {
-  has_ended = true;
+  has_crashed = true;
   server_.close();
 }
 
--- a/standins/stream_engine.h
+++ b/standins/stream_engine.h
@@ -32,7 +32,7 @@
 
   // A run with this body ends the engine.
   std::string fatal_body;
-  bool has_ended = false;
+  bool has_crashed = false;
   // Answers refused as not run because weights are being loaded.
   bool loading = false;
 
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -43,7 +43,7 @@
   std::size_t crashes() const
   {
     return static_cast<std::size_t>(std::count_if(
-      all.begin(), all.end(), [](const auto& e) { return e->has_ended; }));
+      all.begin(), all.end(), [](const auto& e) { return e->has_crashed; }));
   }
 
   // Adds a new engine for each one that has crashed.
@@ -149,7 +149,7 @@
     engines.run_for(150);
     auto& victim = *engines.all[engines.all.size() - 1 - i % 3];
     victim.end();
-    engines.run_until([&] { return victim.has_ended; });
+    engines.run_until([&] { return victim.has_crashed; });
     engines.add();
     slow_engines();
   }
