--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -58,7 +58,7 @@
   }
   const auto last = http::number(r.fields, "Last").value_or(0);
   runs.push_back({ item, last });
-  if (!fatal_body.empty() && r.body == fatal_body) {
+  if (!poison_body.empty() && r.body == poison_body) {
     auto t = std::make_shared<asio::steady_timer>(
       io_, std::chrono::milliseconds{ gap_ms });
     t->async_wait([this, t](asio::error_code ec) {
--- a/standins/stream_engine.h
+++ b/standins/stream_engine.h
@@ -31,7 +31,7 @@
   void end();
 
   // A run with this body ends the engine.
-  std::string fatal_body;
+  std::string poison_body;
   bool has_crashed = false;
   // Answers refused as not run because weights are being loaded.
   bool loading = false;
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -34,7 +34,7 @@
   {
     const auto id = "engine-" + std::to_string(all.size());
     all.push_back(std::make_unique<stream_engine>(w.io, id));
-    all.back()->fatal_body = poison_body;
+    all.back()->poison_body = poison_body;
     for (const auto& e : w.entries) {
       e->announce_backend(id, "engines", all.back()->address(), 1);
     }
