--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -274,7 +274,7 @@
     a.service = "lookups";
     backends::announce(registry, a);
   }
-  auto d = standins::plain_dialect();
+  auto d = standins::json_dialect();
   http::client http{ io };
   store::client client{ io, http, d.store, { store.address(), {} } };
   quarantine::manager quarantine_manager{
--- a/cactusford/quarantine/manager-test.cc
+++ b/cactusford/quarantine/manager-test.cc
@@ -31,7 +31,7 @@
 struct instance
 {
   http::client http;
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   store::client store;
   backends::registry registry;
   quarantine::manager manager;
--- a/soak/edge.cc
+++ b/soak/edge.cc
@@ -8,5 +8,5 @@
 {
   using namespace cactusford;
   return edge::hosted_main(
-    argc, argv, "", standins::plain_dialect(), edge::run_edge);
+    argc, argv, "", standins::json_dialect(), edge::run_edge);
 }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -260,7 +260,7 @@
 } // namespace
 
 edge::dialect
-plain_dialect()
+json_dialect()
 {
   edge::dialect d;
   d.headers = { "Id",        "Wait",         "Signature",   "Expect",
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -19,7 +19,7 @@
 
 // Calls and replies as plain JSON, and simple forms of all other messages.
 edge::dialect
-plain_dialect();
+json_dialect();
 
 class object_store
 {
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -57,7 +57,7 @@
 {
   asio::io_context io;
   http::client http{ io };
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   backends::registry registry;
   routes::table_ptr table = test_route_table();
   http::server peer;
--- a/tests/loader-test.cc
+++ b/tests/loader-test.cc
@@ -27,7 +27,7 @@
 
   static edge::dialect dialect_with_orders()
   {
-    auto d = standins::plain_dialect();
+    auto d = standins::json_dialect();
     standins::order_engine::add_to(d);
     return d;
   }
--- a/tests/store-test.cc
+++ b/tests/store-test.cc
@@ -23,7 +23,7 @@
 {
   asio::io_context& io;
   http::client http{ io };
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   http::server peer;
   std::unique_ptr<store::client> store;
   std::unique_ptr<store::watcher> watcher;
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -111,7 +111,7 @@
 struct instance
 {
   http::client http;
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   http::server peer;
   std::unique_ptr<link> to_store;
   std::vector<std::unique_ptr<link>> to_relays;
--- a/tests/watcher-test.cc
+++ b/tests/watcher-test.cc
@@ -41,7 +41,7 @@
                         pending_calls.push_back(c);
                       } };
   http::client http{ io };
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   std::unique_ptr<store::client> store;
   std::unique_ptr<store::watcher> watcher;
   std::set<std::string> shown;
