--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -64,7 +64,7 @@
 }
 
 void
-order_engine::add_to(edge::dialect& d)
+order_engine::add_order_codecs(edge::dialect& d)
 {
   d.report_request = [] {
     return http::request{
--- a/standins/order_engine.h
+++ b/standins/order_engine.h
@@ -22,7 +22,7 @@
   std::string address() const;
 
   // Fills in how reports and orders look.
-  static void add_to(edge::dialect& d);
+  static void add_order_codecs(edge::dialect& d);
 
   // Starts again: orders are counted from zero, weights stay.
   void restart();
--- a/tests/loader-test.cc
+++ b/tests/loader-test.cc
@@ -28,7 +28,7 @@
   static edge::dialect dialect_with_orders()
   {
     auto d = standins::json_dialect();
-    standins::order_engine::add_to(d);
+    standins::order_engine::add_order_codecs(d);
     return d;
   }
 
