--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -73,7 +73,7 @@
 }
 
 void
-crashing_service::end_server(std::size_t index)
+crashing_service::crash_server(std::size_t index)
 {
   end(*servers_.at(index));
 }
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -39,7 +39,7 @@
   ~crashing_service();
 
   // A server ends for a cause of its own.
-  void end_server(std::size_t index);
+  void crash_server(std::size_t index);
 
   // Resets all connections of a server, which lives on.
   void reset_connections(std::size_t index);
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -260,10 +260,10 @@
     }
     c.run_for(100);
     if (round % 2 == 0) {
-      c.service.end_server(round % servers);
+      c.service.crash_server(round % servers);
     } else {
       for (std::size_t s = 0; s < servers; ++s) {
-        c.service.end_server(s);
+        c.service.crash_server(s);
       }
     }
     // Continue before the entries learn of the new incarnations.
