--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -148,7 +148,7 @@
   for (int i = 0; i < crashes; ++i) {
     engines.run_for(150);
     auto& victim = *engines.all[engines.all.size() - 1 - i % 3];
-    victim.end();
+    victim.crash();
     engines.run_until([&] { return victim.has_crashed; });
     engines.add();
     slow_engines();
