--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -63,7 +63,7 @@
       io_, std::chrono::milliseconds{ gap_ms });
     t->async_wait([this, t](asio::error_code ec) {
       if (!ec) {
-        end();
+        crash();
       }
     });
     return;
@@ -75,7 +75,7 @@
 }
 
 void
-stream_engine::end()
+stream_engine::crash()
 {
   has_crashed = true;
   server_.close();
--- a/standins/stream_engine.h
+++ b/standins/stream_engine.h
@@ -28,7 +28,7 @@
   // Ends the stream in the middle of event n of an item's first run; 0: never.
   std::uint64_t abort_inside_event = 0;
   // It ends, and all its runs with it.
-  void end();
+  void crash();
 
   // A run with this body ends the engine.
   std::string poison_body;
