--- a/standins/child.h
+++ b/standins/child.h
@@ -1,4 +1,4 @@
-// A program that a test started, by its process id.
+// Starts the programs of a test as child processes.
 #pragma once
 
 #include <sys/types.h>
@@ -8,9 +8,10 @@
 
 namespace cactusford::standins {
 
-// Starts a program; its output goes to the end of a file. 0 when it can't be
-// started.
+// Starts a program and appends its standard output and error to a file. Returns
+// the process id, or 0 if the program cannot be started.
 pid_t
-spawn_program(const std::vector<std::string>& words, const std::string& output);
+spawn_program(const std::vector<std::string>& arguments,
+              const std::string& output_path);
 
 } // namespace cactusford::standins
--- a/standins/crashing_service.cc
+++ b/standins/crashing_service.cc
@@ -9,14 +9,16 @@
 struct crashing_service::server
 {
   std::size_t index = 0;
-  // Which life it is in; its id is made from both.
-  std::uint64_t life = 0;
+  // Number of the current incarnation. The id consists of the index and this
+  // number.
+  std::uint64_t incarnation = 0;
   std::uint16_t port = 0;
-  std::unique_ptr<http::server> front;
+  std::unique_ptr<http::server> http_server;
 
   std::string id() const
   {
-    return "server-" + std::to_string(index) + "-" + std::to_string(life);
+    return "server-" + std::to_string(index) + "-" +
+           std::to_string(incarnation);
   }
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
@@ -24,10 +26,10 @@
 
 crashing_service::crashing_service(asio::io_context& io,
                                    object_store& store,
-                                   crashing_service_options o)
+                                   crashing_service_options options)
   : io_{ io }
   , store_{ store }
-  , options_{ std::move(o) }
+  , options_{ std::move(options) }
 {
   for (std::size_t i = 0; i < options_.servers; ++i) {
     servers_.push_back(std::make_unique<server>());
@@ -41,33 +43,34 @@
 void
 crashing_service::start(server& s)
 {
-  ++s.life;
-  s.front = std::make_unique<http::server>(
+  ++s.incarnation;
+  s.http_server = std::make_unique<http::server>(
     io_, http::server_limits{}, [this, &s](const http::call& c) {
       serve(s, c);
     });
-  s.front->listen(s.address());
-  s.port = s.front->port();
+  s.http_server->listen(s.address());
+  s.port = s.http_server->port();
   constexpr int slots = 8;
   store_.put("backends",
              s.id(),
-             { { "started_ms", s.life },
+             { { "started_ms", s.incarnation },
                { "service", options_.service },
                { "address", s.address() },
                { "slots", slots } });
 }
 
-// Its entry lapses when the next life announces itself.
+// The announcement of the crashed incarnation stays in the store until the next
+// incarnation starts.
 void
-crashing_service::end(server& s)
+crashing_service::crash(server& s)
 {
-  s.front->close();
-  after(options_.down_ms, [this, &s, id = s.id()] {
-    store::call gone;
-    gone.op = store::operation::remove;
-    gone.kind = "backends";
-    gone.name = id;
-    store_.write(gone);
+  s.http_server->close();
+  run_after(options_.down_ms, [this, &s, id = s.id()] {
+    store::call removal;
+    removal.op = store::operation::remove;
+    removal.kind = "backends";
+    removal.name = id;
+    store_.write(removal);
     start(s);
   });
 }
@@ -75,26 +78,26 @@
 void
 crashing_service::crash_server(std::size_t index)
 {
-  end(*servers_.at(index));
+  crash(*servers_.at(index));
 }
 
 void
 crashing_service::reset_connections(std::size_t index)
 {
   auto& s = *servers_.at(index);
-  s.front->close();
-  s.front = std::make_unique<http::server>(
+  s.http_server->close();
+  s.http_server = std::make_unique<http::server>(
     io_, http::server_limits{}, [this, &s](const http::call& c) {
       serve(s, c);
     });
-  s.front->listen(s.address());
+  s.http_server->listen(s.address());
 }
 
 bool
 crashing_service::all_running() const
 {
   return std::all_of(servers_.begin(), servers_.end(), [](const auto& s) {
-    return s->front->port() != 0;
+    return s->http_server->port() != 0;
   });
 }
 
@@ -107,14 +110,16 @@
     return;
   }
   runs_.push_back(r.body);
-  after(options_.work_ms, [this, &s, c, life = s.life] {
-    // It ended meanwhile under another request.
-    if (s.life != life || s.front->port() == 0 || !c.is_open()) {
+  run_after(options_.work_ms, [this, &s, c, incarnation = s.incarnation] {
+    // Another request has crashed the server in the meantime, or the caller has
+    // disconnected.
+    if (s.incarnation != incarnation || s.http_server->port() == 0 ||
+        !c.is_open()) {
       return;
     }
     if (options_.is_poison(c.request())) {
-      ++ends_;
-      end(s);
+      ++crashes_;
+      crash(s);
       return;
     }
     const auto id = http::find(c.request().fields, "Id").value_or("");
@@ -126,13 +131,13 @@
 }
 
 void
-crashing_service::after(std::uint64_t ms, std::function<void()> run)
+crashing_service::run_after(std::uint64_t ms, std::function<void()> action)
 {
-  auto t =
+  auto timer =
     std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{ ms });
-  t->async_wait([t, run = std::move(run)](asio::error_code ec) {
+  timer->async_wait([timer, action = std::move(action)](asio::error_code ec) {
     if (!ec) {
-      run();
+      action();
     }
   });
 }
--- a/standins/crashing_service.h
+++ b/standins/crashing_service.h
@@ -1,6 +1,6 @@
-// A stand-in for a plain service whose servers end when they run a certain
-// request, and are back a little later, each time as another life on the same
-// address.
+// Stand-in for a plain service whose servers crash when they run a poison
+// request. A crashed server restarts after a delay on the same address, as a
+// new incarnation with a new id.
 #pragma once
 
 #include "cactusford/http/server.h"
@@ -20,11 +20,12 @@
 {
   std::string service = "calls";
   std::size_t servers = 4;
-  // From the arrival of a request to its answer, or to the end of its server.
+  // Time from the arrival of a request to its response or the crash of its
+  // server.
   std::uint64_t work_ms = 30;
-  // From the end of a server to its next life.
+  // Time from the crash of a server to its restart.
   std::uint64_t down_ms = 400;
-  // True for a request that ends the server that runs it.
+  // Returns true for a request that crashes the server that runs it.
   std::function<bool(const http::request&)> is_poison = [](const auto&) {
     return false;
   };
@@ -35,36 +36,38 @@
 public:
   crashing_service(asio::io_context& io,
                    object_store& store,
-                   crashing_service_options o);
+                   crashing_service_options options);
   ~crashing_service();
 
-  // A server ends for a cause of its own.
+  // Crashes a server for a reason that is unrelated to its requests.
   void crash_server(std::size_t index);
 
-  // Resets all connections of a server, which lives on.
+  // Resets all connections of a server without restarting it: the incarnation
+  // stays the same.
   void reset_connections(std::size_t index);
 
-  // Bodies of all requests that were begun, in their order.
+  // Bodies of all requests that were started, in order of arrival.
   const std::vector<std::string>& runs() const { return runs_; }
 
-  // Servers that a fatal request has ended.
-  std::size_t crashes() const { return ends_; }
+  // Number of crashes that poison requests have caused.
+  std::size_t crashes() const { return crashes_; }
 
+  // Returns true if no server is down.
   bool all_running() const;
 
 private:
   struct server;
   void start(server& s);
-  void end(server& s);
+  void crash(server& s);
   void serve(server& s, const http::call& c);
-  void after(std::uint64_t ms, std::function<void()> run);
+  void run_after(std::uint64_t ms, std::function<void()> action);
 
   asio::io_context& io_;
   object_store& store_;
   crashing_service_options options_;
   std::vector<std::unique_ptr<server>> servers_;
   std::vector<std::string> runs_;
-  std::size_t ends_ = 0;
+  std::size_t crashes_ = 0;
 };
 
 } // namespace cactusford::standins
--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -19,8 +19,9 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Tokens leave in runs, or a fast engine would send one event for each.
-constexpr double turn_us = 10000;
+// Tokens are sent once per scheduler period, because a fast engine would
+// otherwise send one event per token.
+constexpr double scheduler_period_us = 10000;
 constexpr std::uint64_t tokens_per_char = 4;
 
 std::uint64_t
@@ -29,6 +30,7 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
+// Maps a hash to a uniformly distributed number between 0 and 1.
 double
 uniform(std::uint64_t h)
 {
@@ -36,10 +38,10 @@
 }
 
 void
-answer(httplib::Response& out, int status, const json& body)
+respond_json(httplib::Response& response, int status, const json& body)
 {
-  out.status = status;
-  out.set_content(body.dump(), "application/json");
+  response.status = status;
+  response.set_content(body.dump(), "application/json");
 }
 
 } // namespace
@@ -68,7 +70,7 @@
 engine::start()
 {
   add_routes();
-  thread_ = std::thread{ [this] { turn(); } };
+  thread_ = std::thread{ [this] { run_scheduler(); } };
   return server_.start(settings_.address);
 }
 
@@ -76,28 +78,32 @@
 engine::add_routes()
 {
   auto& http = server_.http;
-  http.Post("/v1/completions",
-            [this](const auto& in, auto& out) { complete(in, out); });
-  http.Post("/orders/stage",
-            [this](const auto& in, auto& out) { order(in, out, false); });
-  http.Post("/orders/swap",
-            [this](const auto& in, auto& out) { order(in, out, true); });
-  http.Get("/versions", [this](const auto& in, auto& out) {
+  http.Post("/v1/completions", [this](const auto& request, auto& response) {
+    handle_completion(request, response);
+  });
+  http.Post("/orders/stage", [this](const auto& request, auto& response) {
+    handle_order(request, response, false);
+  });
+  http.Post("/orders/swap", [this](const auto& request, auto& response) {
+    handle_order(request, response, true);
+  });
+  http.Get("/versions", [this](const auto& request, auto& response) {
     const std::lock_guard lock{ mutex_ };
-    const auto& m = models_[in.get_param_value("model")];
-    answer(out, 200, { { "active", m.active }, { "staged", m.staged } });
+    const auto& m = models_[request.get_param_value("model")];
+    respond_json(
+      response, 200, { { "active", m.active }, { "staged", m.staged } });
   });
-  http.Get("/load", [this](const auto&, auto& out) {
+  http.Get("/load", [this](const auto&, auto& response) {
     const std::lock_guard lock{ mutex_ };
-    answer(out,
-           200,
-           { { "running", running_.size() },
-             { "generated", generated_ },
-             { "prefix_hits", prefix_hits_ },
-             { "prefix_misses", prefix_misses_ } });
+    respond_json(response,
+                 200,
+                 { { "running", running_.size() },
+                   { "generated", generated_tokens_ },
+                   { "prefix_hits", prefix_hits_ },
+                   { "prefix_misses", prefix_misses_ } });
   });
-  http.Post("/control/faults", [this](const auto& in, auto& out) {
-    const auto body = json::parse(in.body, nullptr, false);
+  http.Post("/control/faults", [this](const auto& request, auto& response) {
+    const auto body = json::parse(request.body, nullptr, false);
     const std::lock_guard lock{ mutex_ };
     fail_swaps_ = body.value("fail_swaps", fail_swaps_);
     lose_swap_answers_ = body.value("lose_swap_answers", lose_swap_answers_);
@@ -106,32 +112,35 @@
                     .with("target", settings_.name)
                     .with("what", body.dump()));
     changed_.notify_all();
-    answer(out, 200, json::object());
+    respond_json(response, 200, json::object());
   });
 }
 
 std::uint32_t
-engine::length_of(const std::string& request, std::uint32_t most) const
+engine::response_length(const std::string& request_id,
+                        std::uint32_t max_tokens) const
 {
-  const auto a = uniform(hash(request, 1));
-  const auto b = uniform(hash(request, 2));
+  const auto u1 = uniform(hash(request_id, 1));
+  const auto u2 = uniform(hash(request_id, 2));
+  // Box-Muller transform.
   const auto normal =
-    std::sqrt(-2 * std::log(a)) * std::cos(2 * std::acos(-1.0) * b);
+    std::sqrt(-2 * std::log(u1)) * std::cos(2 * std::acos(-1.0) * u2);
   auto length =
     settings_.length_mean * std::exp(settings_.length_sigma * normal);
-  if (uniform(hash(request, 3)) < settings_.straggler_share) {
+  if (uniform(hash(request_id, 3)) < settings_.straggler_share) {
     length *= settings_.straggler_factor;
   }
-  return std::clamp<std::uint32_t>(static_cast<std::uint32_t>(length), 1, most);
+  return std::clamp<std::uint32_t>(
+    static_cast<std::uint32_t>(length), 1, max_tokens);
 }
 
 void
-engine::remember_prefix(const std::string& prompt, std::uint64_t tokens)
+engine::cache_prefix(const std::string& prompt, std::uint64_t tokens)
 {
   cache_.emplace_front(prompt, tokens);
-  cached_ += tokens;
-  while (cached_ > settings_.cache_tokens && cache_.size() > 1) {
-    cached_ -= cache_.back().second;
+  cached_tokens_ += tokens;
+  while (cached_tokens_ > settings_.cache_tokens && cache_.size() > 1) {
+    cached_tokens_ -= cache_.back().second;
     cache_.pop_back();
   }
 }
@@ -140,85 +149,87 @@
 engine::admit(const json& body)
 {
   auto s = std::make_shared<sequence>();
-  s->request = body.value("request_id", std::string{});
+  s->request_id = body.value("request_id", std::string{});
   s->attempt = body.value("attempt", 0U);
   s->model = body.value("model", std::string{});
   s->priority = body.value("priority", 0U);
-  s->next = body.value("resume_from", 0U);
+  s->next_token = body.value("resume_from", 0U);
   const auto prompt = body.value("prompt", std::string{});
-  std::array<char, 8> mark{};
-  std::snprintf(mark.data(),
-                mark.size(),
+  std::array<char, 8> token_prefix{};
+  std::snprintf(token_prefix.data(),
+                token_prefix.size(),
                 "%04x",
                 static_cast<unsigned>(hash(prompt, 0) & 0xffff));
-  s->mark = mark.data();
+  s->token_prefix = token_prefix.data();
   const std::lock_guard lock{ mutex_ };
-  s->total = length_of(s->request, body.value("max_tokens", 16U));
+  s->total_tokens =
+    response_length(s->request_id, body.value("max_tokens", 16U));
   s->arrival = arrivals_++;
   const auto prompt_tokens = prompt.size() / tokens_per_char + 64;
-  s->kv = prompt_tokens + s->next;
-  auto to_prefill = s->kv;
-  const auto known =
+  s->kv_used = prompt_tokens + s->next_token;
+  auto prefill_tokens = s->kv_used;
+  const auto cached =
     std::find_if(cache_.begin(), cache_.end(), [&](const auto& c) {
       return c.first == prompt;
     });
-  if (known != cache_.end()) {
+  if (cached != cache_.end()) {
     ++prefix_hits_;
-    to_prefill -= prompt_tokens;
-    cache_.splice(cache_.begin(), cache_, known);
+    prefill_tokens -= prompt_tokens;
+    cache_.splice(cache_.begin(), cache_, cached);
   } else {
     ++prefix_misses_;
-    remember_prefix(prompt, prompt_tokens);
+    cache_prefix(prompt, prompt_tokens);
   }
   s->prefill_us =
-    static_cast<double>(to_prefill) * settings_.prefill_us_per_token;
+    static_cast<double>(prefill_tokens) * settings_.prefill_us_per_token;
   running_.push_back(s);
   changed_.notify_all();
   return s;
 }
 
 void
-engine::complete(const httplib::Request& in, httplib::Response& out)
+engine::handle_completion(const httplib::Request& request,
+                          httplib::Response& response)
 {
-  const auto body = json::parse(in.body, nullptr, false);
+  const auto body = json::parse(request.body, nullptr, false);
   if (!body.is_object()) {
-    answer(out, 400, { { "error", "not JSON" } });
+    respond_json(response, 400, { { "error", "not JSON" } });
     return;
   }
   std::this_thread::sleep_for(microseconds{ settings_.latency_us });
   const auto s = admit(body);
-  out.set_chunked_content_provider(
+  response.set_chunked_content_provider(
     "text/event-stream",
     [this, s](std::size_t, httplib::DataSink& sink) {
-      return write_out(s, sink);
+      return send_chunks(s, sink);
     },
     [this, s](bool) {
       const std::lock_guard lock{ mutex_ };
       s->cancelled = !s->done;
-      timeline::log(timeline::event{ "engine_ended" }
+      timeline::log(timeline::event{ "engine_request_ended" }
                       .with("engine", settings_.name)
-                      .with("request", s->request)
-                      .with("to", s->next));
+                      .with("request", s->request_id)
+                      .with("to", s->next_token));
     });
 }
 
 bool
-engine::write_out(const sequence_ptr& s, httplib::DataSink& sink)
+engine::send_chunks(const sequence_ptr& s, httplib::DataSink& sink)
 {
-  std::deque<chunk> ready;
+  std::deque<chunk> chunks;
   bool done = false;
   {
     std::unique_lock lock{ mutex_ };
-    changed_.wait(lock,
-                  [&] { return !s->ready.empty() || s->done || stopped_; });
-    ready.swap(s->ready);
+    changed_.wait(
+      lock, [&] { return !s->pending_chunks.empty() || s->done || stopped_; });
+    chunks.swap(s->pending_chunks);
     done = s->done;
     if (stopped_ && !done) {
       return false;
     }
   }
   std::string text;
-  for (const auto& c : ready) {
+  for (const auto& c : chunks) {
     json j{ { "count", c.count }, { "text", c.text } };
     if (settings_.reports_versions) {
       j["weight_version"] = c.version;
@@ -237,22 +248,22 @@
   return true;
 }
 
-// Lower priority numbers first, then by arrival, up to the batch size and the
-// KV memory. Sequences that do not fit are held back and keep their place.
+// Selects sequences by priority, lowest number first, and by arrival, up to the
+// limits of batch size and KV memory. The others stay queued in their order.
 std::vector<engine::sequence_ptr>
-engine::pick_batch()
+engine::select_batch()
 {
   std::erase_if(running_,
                 [](const auto& s) { return s->done || s->cancelled; });
-  std::vector<sequence_ptr> order{ running_.begin(), running_.end() };
-  std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
+  std::vector<sequence_ptr> queue{ running_.begin(), running_.end() };
+  std::sort(queue.begin(), queue.end(), [](const auto& a, const auto& b) {
     return std::pair{ a->priority, a->arrival } <
            std::pair{ b->priority, b->arrival };
   });
   std::uint64_t kv = 0;
   std::vector<sequence_ptr> batch;
-  for (auto& s : order) {
-    kv += s->kv;
+  for (auto& s : queue) {
+    kv += s->kv_used;
     if (batch.size() == settings_.max_batch || kv > settings_.kv_tokens) {
       break;
     }
@@ -261,96 +272,99 @@
   return batch;
 }
 
-// Spends the credit on decoding steps. What is left, or overspent by a step
-// that is longer than a turn, carries over.
+// Runs decoding steps until the time budget is used up and returns the
+// remainder. A negative remainder, left by a step that takes longer than a
+// scheduler period, reduces the budget of the next call.
 double
-engine::decode(const std::vector<sequence_ptr>& batch, double credit_us)
+engine::decode(const std::vector<sequence_ptr>& batch, double budget_us)
 {
   const auto step_us =
     settings_.step_base_us +
     settings_.step_per_sequence_us * static_cast<double>(batch.size());
-  std::map<sequence*, std::uint32_t> made;
-  while (credit_us > 0) {
-    bool any = false;
-    credit_us -= step_us;
+  std::map<sequence*, std::uint32_t> generated;
+  while (budget_us > 0) {
+    bool has_progress = false;
+    budget_us -= step_us;
     for (const auto& s : batch) {
       if (s->prefill_us > 0) {
-        // Prefill takes its time from the whole batch.
-        credit_us -= s->prefill_us;
+        // Prefill delays the whole batch.
+        budget_us -= s->prefill_us;
         s->prefill_us = 0;
       }
-      if (s->next + made[s.get()] < s->total) {
-        ++made[s.get()];
-        any = true;
+      if (s->next_token + generated[s.get()] < s->total_tokens) {
+        ++generated[s.get()];
+        has_progress = true;
       }
     }
-    if (!any) {
+    if (!has_progress) {
       break;
     }
   }
   for (const auto& s : batch) {
-    const auto count = made[s.get()];
+    const auto count = generated[s.get()];
     const auto version = models_[s->model].active;
-    if (count == 0 && s->next < s->total) {
+    if (count == 0 && s->next_token < s->total_tokens) {
       continue;
     }
     if (version != s->version && count > 0) {
       s->version = version;
       timeline::log(timeline::event{ "engine_run" }
                       .with("engine", settings_.name)
-                      .with("request", s->request)
+                      .with("request", s->request_id)
                       .with("attempt", s->attempt)
-                      .with("from", s->next)
+                      .with("from", s->next_token)
                       .with("weight_version", version));
     }
     chunk c{ count, {}, version };
     for (std::uint32_t i = 0; i < count; ++i) {
-      c.text += " " + s->mark + "." + std::to_string(s->next++);
+      c.text += " " + s->token_prefix + "." + std::to_string(s->next_token++);
     }
-    s->kv += count;
-    generated_ += count;
-    s->done = s->next >= s->total;
+    s->kv_used += count;
+    generated_tokens_ += count;
+    s->done = s->next_token >= s->total_tokens;
     if (count > 0) {
-      s->ready.push_back(std::move(c));
+      s->pending_chunks.push_back(std::move(c));
     }
   }
-  return credit_us;
+  return budget_us;
 }
 
 void
-engine::turn()
+engine::run_scheduler()
 {
-  double credit_us = 0;
+  double budget_us = 0;
   auto next = std::chrono::steady_clock::now();
   std::unique_lock lock{ mutex_ };
   while (!stopped_) {
     if (running_.empty()) {
       changed_.wait(lock, [this] { return stopped_ || !running_.empty(); });
       next = std::chrono::steady_clock::now();
-      credit_us = 0;
+      budget_us = 0;
     }
     const bool paused = hung_ || process::steady_ms() < paused_until_ms_;
-    const auto batch = paused ? std::vector<sequence_ptr>{} : pick_batch();
+    const auto batch = paused ? std::vector<sequence_ptr>{} : select_batch();
     if (!batch.empty()) {
-      credit_us = decode(batch, credit_us + turn_us);
+      budget_us = decode(batch, budget_us + scheduler_period_us);
       changed_.notify_all();
     }
-    next += microseconds{ static_cast<int>(turn_us) };
+    next += microseconds{ static_cast<int>(scheduler_period_us) };
     changed_.wait_until(lock, next, [this] { return stopped_; });
   }
 }
 
 void
-engine::order(const httplib::Request& in, httplib::Response& out, bool swap)
+engine::handle_order(const httplib::Request& request,
+                     httplib::Response& response,
+                     bool swap)
 {
-  const auto body = json::parse(in.body, nullptr, false);
+  const auto body = json::parse(request.body, nullptr, false);
   const auto model = body.value("model", std::string{});
   const auto version = body.value("version", std::uint64_t{ 0 });
   const auto fence = body.value("fence", std::uint64_t{ 0 });
   std::unique_lock lock{ mutex_ };
   auto& m = models_[model];
   if (settings_.obeys_fencing && fence < m.fence) {
-    answer(out, 409, { { "error", "fenced" } });
+    respond_json(response, 409, { { "error", "fenced" } });
     return;
   }
   m.fence = std::max(m.fence, fence);
@@ -359,16 +373,16 @@
     std::this_thread::sleep_for(milliseconds{ settings_.stage_ms });
     lock.lock();
     m.staged = version;
-    answer(out, 200, json::object());
+    respond_json(response, 200, json::object());
     return;
   }
   if (fail_swaps_ > 0) {
     --fail_swaps_;
-    answer(out, 500, { { "error", "swap failed" } });
+    respond_json(response, 500, { { "error", "swap failed" } });
     return;
   }
   if (m.staged != version) {
-    answer(out, 412, { { "error", "not staged" } });
+    respond_json(response, 412, { { "error", "not staged" } });
     return;
   }
   paused_until_ms_ = process::steady_ms() + settings_.swap_ms;
@@ -383,10 +397,10 @@
                   .with("weight_version", version));
   if (lose_swap_answers_ > 0) {
     --lose_swap_answers_;
-    out.status = 504;
+    response.status = 504;
     return;
   }
-  answer(out, 200, json::object());
+  respond_json(response, 200, json::object());
 }
 
 } // namespace cactusford::standins
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -1,6 +1,7 @@
-// Stand-in of model engines: batches continuously, has bounded KV memory, a
-// prefix cache, priorities, resume, cancel, load and swap orders with fencing,
-// and faults to switch on. Protocol and cost model: docs/ENGINE.md.
+// Stand-in for a model engine. Simulates continuous batching with bounded KV
+// memory, a prefix cache, priorities, resumption and cancellation of requests,
+// staging and swapping of weights with fencing tokens, and injected faults.
+// Protocol and cost model: docs/ENGINE.md.
 #pragma once
 
 #include "standins/server.h"
@@ -24,23 +25,30 @@
   std::string name;
   std::string address = "127.0.0.1:0";
   std::size_t threads = 64;
-  // Time of one decoding step: base plus a part for each running sequence.
+  // Duration of a decoding step: a base plus a share per running sequence.
   double step_base_us = 4000;
   double step_per_sequence_us = 250;
   double prefill_us_per_token = 60;
+  // Limits of the batch: sequences, and tokens of KV memory.
   std::uint32_t max_batch = 24;
   std::uint64_t kv_tokens = 40000;
+  // Capacity of the prefix cache.
   std::uint64_t cache_tokens = 20000;
-  // Lengths of answers: log-normal, by the request id.
+  // Response lengths follow a log-normal distribution. They depend only on the
+  // request id, so a repeated request has the same length.
   double length_mean = 120;
   double length_sigma = 0.6;
+  // Share of requests whose length is multiplied by `straggler_factor`.
   double straggler_share = 0.02;
   double straggler_factor = 8;
   std::uint32_t stage_ms = 300;
   std::uint32_t swap_ms = 150;
   std::uint32_t load_lag_ms = 500;
+  // Refuses orders whose fencing token is older than the latest one.
   bool obeys_fencing = true;
+  // Sends the weight version with each chunk.
   bool reports_versions = true;
+  // Delay before a completion is admitted.
   std::uint32_t latency_us = 0;
 };
 
@@ -49,51 +57,63 @@
 public:
   explicit engine(engine_settings s);
   ~engine();
+  // Returns the port, or 0 if the address cannot be bound.
   int start();
   const std::string& name() const { return settings_.name; }
 
 private:
+  // Tokens that were generated in one scheduler period.
   struct chunk
   {
     std::uint32_t count = 0;
     std::string text;
     std::uint64_t version = 0;
   };
+  // State of a completion request.
   struct sequence
   {
-    std::string request;
+    std::string request_id;
     std::uint32_t attempt = 0;
     std::string model;
-    std::string mark;
+    // Prefix of each generated token, derived from the prompt.
+    std::string token_prefix;
     std::uint32_t priority = 0;
     std::uint64_t arrival = 0;
-    std::uint32_t next = 0;
-    std::uint32_t total = 0;
-    std::uint64_t kv = 0;
+    // Index of the next token to generate.
+    std::uint32_t next_token = 0;
+    std::uint32_t total_tokens = 0;
+    std::uint64_t kv_used = 0;
+    // Prefill time that is still to be spent.
     double prefill_us = 0;
     std::uint64_t version = 0;
     bool done = false;
     bool cancelled = false;
-    std::deque<chunk> ready;
+    // Chunks that are not yet sent.
+    std::deque<chunk> pending_chunks;
   };
   using sequence_ptr = std::shared_ptr<sequence>;
   struct model_state
   {
     std::uint64_t active = 1;
     std::uint64_t staged = 0;
+    // Highest fencing token seen in an order.
     std::uint64_t fence = 0;
   };
 
   void add_routes();
-  void turn();
-  std::vector<sequence_ptr> pick_batch();
-  double decode(const std::vector<sequence_ptr>& batch, double credit_us);
-  void complete(const httplib::Request& in, httplib::Response& out);
+  void run_scheduler();
+  std::vector<sequence_ptr> select_batch();
+  double decode(const std::vector<sequence_ptr>& batch, double budget_us);
+  void handle_completion(const httplib::Request& request,
+                         httplib::Response& response);
   sequence_ptr admit(const nlohmann::json& body);
-  bool write_out(const sequence_ptr& s, httplib::DataSink& sink);
-  void order(const httplib::Request& in, httplib::Response& out, bool swap);
-  void remember_prefix(const std::string& prompt, std::uint64_t tokens);
-  std::uint32_t length_of(const std::string& request, std::uint32_t most) const;
+  bool send_chunks(const sequence_ptr& s, httplib::DataSink& sink);
+  void handle_order(const httplib::Request& request,
+                    httplib::Response& response,
+                    bool swap);
+  void cache_prefix(const std::string& prompt, std::uint64_t tokens);
+  std::uint32_t response_length(const std::string& request_id,
+                                std::uint32_t max_tokens) const;
 
   engine_settings settings_;
   server server_;
@@ -101,14 +121,17 @@
   std::condition_variable changed_;
   std::list<sequence_ptr> running_;
   std::map<std::string, model_state> models_;
-  // Prefixes in least-recently-used order, with their tokens.
+  // Cached prompts and their token counts, most recently used first.
   std::list<std::pair<std::string, std::uint64_t>> cache_;
-  std::uint64_t cached_ = 0;
+  std::uint64_t cached_tokens_ = 0;
   std::uint64_t arrivals_ = 0;
   std::uint64_t prefix_hits_ = 0;
   std::uint64_t prefix_misses_ = 0;
-  std::uint64_t generated_ = 0;
+  std::uint64_t generated_tokens_ = 0;
+  // End of the running swap; decoding pauses until then.
   std::uint64_t paused_until_ms_ = 0;
+  // Injected faults: number of swaps to fail, number of swaps whose response is
+  // lost, and whether decoding hangs.
   std::uint32_t fail_swaps_ = 0;
   std::uint32_t lose_swap_answers_ = 0;
   bool hung_ = false;
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -33,7 +33,7 @@
 constexpr std::uint32_t stop_limit_ms = 15000;
 
 void
-rest(std::uint32_t ms)
+sleep_for_ms(std::uint32_t ms)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ ms });
 }
@@ -54,8 +54,8 @@
 
 } // namespace
 
-fleet::fleet(fleet_options o)
-  : options_{ std::move(o) }
+fleet::fleet(fleet_options options)
+  : options_{ std::move(options) }
 {
   std::signal(SIGPIPE, SIG_IGN);
   fs::remove_all(options_.folder);
@@ -64,13 +64,14 @@
   deployment_.merge_patch(options_.deployment_settings);
 }
 
-// Daemons first, or they would report the end of the stand-ins as failures.
+// Stops the daemons before the stand-ins. Otherwise the daemons would report
+// the shutdown of the stand-ins as failures.
 fleet::~fleet()
 {
   std::vector<std::string> standins;
   std::vector<std::string> daemons;
   for (const auto& [name, p] : processes_) {
-    auto& group = p.listed.is_null() ? standins : daemons;
+    auto& group = p.list_entry.is_null() ? standins : daemons;
     group.push_back(name);
   }
   for (const auto* group : { &daemons, &standins }) {
@@ -89,12 +90,12 @@
 }
 
 json
-fleet::common(const std::string& name, std::size_t number) const
+fleet::common_settings(const std::string& name, std::size_t index) const
 {
-  const auto& centres = deployment_.at("data_centres");
+  const auto& data_centres = deployment_.at("data_centres");
   return { { "instance", name },
            { "region", deployment_.at("region") },
-           { "data_centre", centres[number % centres.size()] },
+           { "data_centre", data_centres[index % data_centres.size()] },
            { "link", "127.0.0.1:0" },
            { "admin", "127.0.0.1:0" },
            { "platform", address("platform", "platform") },
@@ -112,13 +113,13 @@
   p.pid = spawn_program(
     { options_.programs + "/" + p.program, "--settings", base + ".json" },
     base + ".out");
-  return wait_ports(name)
+  return wait_for_ports(name)
            ? std::string{}
-           : name + " did not start: " + read_text(base + ".out");
+           : name + " failed to start: " + read_text(base + ".out");
 }
 
 bool
-fleet::wait_ports(const std::string& name)
+fleet::wait_for_ports(const std::string& name)
 {
   auto& p = processes_.at(name);
   const auto path = options_.folder + "/" + name + ".ports";
@@ -134,7 +135,7 @@
     if (!is_running(name)) {
       return false;
     }
-    rest(10);
+    sleep_for_ms(10);
   }
   return false;
 }
@@ -148,7 +149,7 @@
 std::string
 fleet::address_of_backend(const std::string& backend) const
 {
-  return address(hosts_.at(backend), backend);
+  return address(host_processes_.at(backend), backend);
 }
 
 void
@@ -158,9 +159,9 @@
                { "instance", "backends" },
                { "engines", json::array() },
                { "services", json::array() } };
-  const auto place =
+  const auto add_backend =
     [&](const std::string& name, const char* group, const json& settings) {
-      hosts_[name] = options_.split_backends ? name : "backends";
+      host_processes_[name] = options_.split_backends ? name : "backends";
       if (!options_.split_backends) {
         shared[group].push_back(settings);
         return;
@@ -180,7 +181,7 @@
       const auto name =
         "engine-" + e.at("pool").get<std::string>() + "-" + std::to_string(i);
       settings["name"] = name;
-      place(name, "engines", settings);
+      add_backend(name, "engines", settings);
     }
   }
   for (const auto& s : deployment_.value("services", json::array())) {
@@ -189,7 +190,7 @@
       const auto name = "server-" + s.at("service").get<std::string>() + "-" +
                         std::to_string(i);
       settings["name"] = name;
-      place(name, "services", settings);
+      add_backend(name, "services", settings);
     }
   }
   if (!options_.split_backends) {
@@ -206,20 +207,20 @@
                    const std::string& kind,
                    const std::string& serves,
                    const std::string& backend,
-                   std::size_t number)
+                   std::size_t index)
 {
-  auto s = common(name, number);
+  auto s = common_settings(name, index);
   s["backend"] = address_of_backend(backend);
   s["kind"] = kind;
   s["serves"] = serves;
   s.merge_patch(options_.sidecar_settings);
-  json listed{ { "id", name },
-               { "role", "sidecar" },
-               { "region", s["region"] },
-               { "data_centre", s["data_centre"] },
-               { "serves", serves },
-               { "state", "live" } };
-  processes_[name] = { "cactusford-sidecar", s, listed, 0, {} };
+  json list_entry{ { "id", name },
+                   { "role", "sidecar" },
+                   { "region", s["region"] },
+                   { "data_centre", s["data_centre"] },
+                   { "serves", serves },
+                   { "state", "live" } };
+  processes_[name] = { "cactusford-sidecar", s, list_entry, 0, {} };
   sidecars_[serves].push_back(name);
 }
 
@@ -235,51 +236,51 @@
     names.push_back(name);
   }
   for (const auto& name : names) {
-    if (const auto wrong = spawn(name); !wrong.empty()) {
-      return wrong;
+    if (const auto error = spawn(name); !error.empty()) {
+      return error;
     }
   }
-  std::vector<std::string> listed;
-  std::size_t number = 0;
+  std::vector<std::string> daemons;
+  std::size_t index = 0;
   for (int i = 0; i < deployment_.value("entries", 2); ++i) {
     const auto name = "entry-" + std::to_string(i);
-    auto e = common(name, number++);
+    auto e = common_settings(name, index++);
     e["http"] = "127.0.0.1:0";
     e["rpc"] = "127.0.0.1:0";
     e.merge_patch(options_.entry_settings);
-    json line{ { "id", name },
-               { "role", "entry" },
-               { "region", e["region"] },
-               { "data_centre", e["data_centre"] },
-               { "state", "live" } };
-    processes_[name] = { "cactusford-entry", e, line, 0, {} };
-    listed.push_back(name);
+    json list_entry{ { "id", name },
+                     { "role", "entry" },
+                     { "region", e["region"] },
+                     { "data_centre", e["data_centre"] },
+                     { "state", "live" } };
+    processes_[name] = { "cactusford-entry", e, list_entry, 0, {} };
+    daemons.push_back(name);
   }
   for (const auto& e : deployment_.value("engines", json::array())) {
     for (int i = 0; i < e.at("count"); ++i) {
       const std::string pool = e.at("pool");
       const auto n = pool + "-" + std::to_string(i);
-      add_sidecar(n, "engine", pool, "engine-" + n, number++);
-      listed.push_back(n);
+      add_sidecar(n, "engine", pool, "engine-" + n, index++);
+      daemons.push_back(n);
     }
   }
   for (const auto& e : deployment_.value("services", json::array())) {
     for (int i = 0; i < e.at("count"); ++i) {
       const std::string service = e.at("service");
       const auto n = service + "-" + std::to_string(i);
-      add_sidecar(n, "service", service, "server-" + n, number++);
-      listed.push_back(n);
+      add_sidecar(n, "service", service, "server-" + n, index++);
+      daemons.push_back(n);
     }
   }
-  for (const auto& name : listed) {
-    if (const auto wrong = spawn(name); !wrong.empty()) {
-      return wrong;
+  for (const auto& name : daemons) {
+    if (const auto error = spawn(name); !error.empty()) {
+      return error;
     }
   }
-  list(listed);
-  for (const auto& name : listed) {
+  update_instance_list(daemons);
+  for (const auto& name : daemons) {
     if (!wait_ready(name, start_limit_ms)) {
-      return name + " is not ready";
+      return name + " did not become ready";
     }
   }
   return {};
@@ -298,22 +299,22 @@
 }
 
 void
-fleet::list(const std::vector<std::string>& names)
+fleet::update_instance_list(const std::vector<std::string>& names)
 {
-  auto lines = json::array();
+  auto list_entries = json::array();
   for (const auto& name : names) {
     auto& p = processes_.at(name);
-    p.listed["link"] = address(name, "link");
-    lines.push_back(p.listed);
+    p.list_entry["link"] = address(name, "link");
+    list_entries.push_back(p.list_entry);
   }
-  post(address("platform", "platform"), "/control/instances", lines);
+  post(address("platform", "platform"), "/control/instances", list_entries);
 }
 
 void
 fleet::mark_leaving(const std::string& name)
 {
-  processes_.at(name).listed["state"] = "leaving";
-  list({ name });
+  processes_.at(name).list_entry["state"] = "leaving";
+  update_instance_list({ name });
 }
 
 void
@@ -328,8 +329,8 @@
 fleet::mark_live(const std::string& name)
 {
   if (is_running(name)) {
-    processes_.at(name).listed["state"] = "live";
-    list({ name });
+    processes_.at(name).list_entry["state"] = "live";
+    update_instance_list({ name });
   }
 }
 
@@ -356,7 +357,7 @@
     if (r && r->status == 200) {
       return true;
     }
-    rest(20);
+    sleep_for_ms(20);
   }
   return false;
 }
@@ -392,19 +393,19 @@
 }
 
 void
-fleet::signal(const std::string& name, int number)
+fleet::signal(const std::string& name, int signal_number)
 {
   auto& p = processes_.at(name);
   if (p.pid == 0) {
     return;
   }
-  const auto* what = number == SIGKILL   ? "process_killed"
-                     : number == SIGSTOP ? "process_paused"
-                     : number == SIGCONT ? "process_resumed"
-                                         : "process_signalled";
-  timeline::log(timeline::event{ what }.with("target", name));
-  kill(p.pid, number);
-  if (number == SIGKILL) {
+  const auto* event_name = signal_number == SIGKILL   ? "process_killed"
+                           : signal_number == SIGSTOP ? "process_paused"
+                           : signal_number == SIGCONT ? "process_resumed"
+                                                      : "process_signalled";
+  timeline::log(timeline::event{ event_name }.with("target", name));
+  kill(p.pid, signal_number);
+  if (signal_number == SIGKILL) {
     int status = 0;
     waitpid(p.pid, &status, 0);
     p.pid = 0;
@@ -422,20 +423,21 @@
       p.pid = 0;
       return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
     }
-    rest(10);
+    sleep_for_ms(10);
   }
   return p.pid == 0 ? 0 : -1;
 }
 
-// Where a process that starts while the platform is down can ask.
+// Returns the link addresses of a few running instances. A process that starts
+// while the platform is down can ask them for the configuration.
 std::vector<std::string>
-fleet::some_links(const std::string& but)
+fleet::peer_links(const std::string& excluded)
 {
-  constexpr std::size_t enough = 4;
+  constexpr std::size_t max_links = 4;
   std::vector<std::string> links;
   for (const auto& [name, p] : processes_) {
-    if (name != but && !p.listed.is_null() && links.size() < enough &&
-        is_running(name)) {
+    if (name != excluded && !p.list_entry.is_null() &&
+        links.size() < max_links && is_running(name)) {
       links.push_back(address(name, "link"));
     }
   }
@@ -446,30 +448,31 @@
 fleet::respawn(const std::string& name)
 {
   auto& p = processes_.at(name);
-  if (!p.listed.is_null()) {
-    p.settings["peers"] = some_links(name);
+  if (!p.list_entry.is_null()) {
+    p.settings["peers"] = peer_links(name);
   }
-  // Trainers know entries by address, as if behind the balancer.
+  // The rpc port must not change, because trainers know the entries only by
+  // address, as behind a load balancer.
   if (p.ports.contains("rpc")) {
     p.settings["rpc"] = address(name, "rpc");
   }
-  auto wrong = spawn(name);
-  if (wrong.empty() && !p.listed.is_null()) {
-    p.listed["state"] = "live";
-    list({ name });
+  auto error = spawn(name);
+  if (error.empty() && !p.list_entry.is_null()) {
+    p.list_entry["state"] = "live";
+    update_instance_list({ name });
   }
-  return wrong;
+  return error;
 }
 
 std::string
 fleet::restart(const std::string& name)
 {
-  auto wrong = respawn(name);
-  const bool daemon = !processes_.at(name).listed.is_null();
-  if (wrong.empty() && daemon && !wait_ready(name, start_limit_ms)) {
-    wrong = name + " is not ready";
+  auto error = respawn(name);
+  const bool is_daemon = !processes_.at(name).list_entry.is_null();
+  if (error.empty() && is_daemon && !wait_ready(name, start_limit_ms)) {
+    error = name + " did not become ready";
   }
-  return wrong;
+  return error;
 }
 
 void
@@ -504,18 +507,18 @@
 }
 
 std::pair<int, std::string>
-fleet::run_operator_command(const std::vector<std::string>& words)
+fleet::run_operator_command(const std::vector<std::string>& arguments)
 {
-  std::vector<std::string> line{ options_.programs + "/cactusford" };
+  std::vector<std::string> command{ options_.programs + "/cactusford" };
   for (const auto& e : entries()) {
     if (is_running(e)) {
-      line.push_back("--entry=" + address(e, "rpc"));
+      command.push_back("--entry=" + address(e, "rpc"));
     }
   }
-  line.insert(line.end(), words.begin(), words.end());
+  command.insert(command.end(), arguments.begin(), arguments.end());
   const auto output =
     options_.folder + "/operator-" + cactusford::process::new_id() + ".out";
-  const auto pid = spawn_program(line, output);
+  const auto pid = spawn_program(command, output);
   int status = 0;
   waitpid(pid, &status, 0);
   auto text = read_text(output);
@@ -528,7 +531,7 @@
 {
   const auto [code, text] = run_operator_command(
     { "apply", "-f", options_.deployment + "/declarations" });
-  return code == 0 ? std::string{} : "apply: " + text;
+  return code == 0 ? std::string{} : "apply failed: " + text;
 }
 
 std::string
@@ -543,24 +546,24 @@
                                  { "name", name },
                                  { "spec", spec } };
   const auto [code, text] = run_operator_command({ "apply", "-f", path });
-  return code == 0 ? std::string{} : "apply: " + text;
+  return code == 0 ? std::string{} : "apply failed: " + text;
 }
 
 void
 fleet::start_trainers(std::uint64_t steps)
 {
-  auto lines = deployment_.value("trainers", json::array());
-  for (auto& line : lines) {
-    line["steps"] = steps;
-    line["entries"] = json::array();
+  auto trainers = deployment_.value("trainers", json::array());
+  for (auto& trainer : trainers) {
+    trainer["steps"] = steps;
+    trainer["entries"] = json::array();
     for (const auto& e : entries()) {
-      line["entries"].push_back(address(e, "rpc"));
+      trainer["entries"].push_back(address(e, "rpc"));
     }
   }
   processes_["trainers"] = { "cactusford-standin",
                              { { "role", "trainers" },
                                { "instance", "trainers" },
-                               { "trainers", lines },
+                               { "trainers", trainers },
                                { "log", options_.folder + "/trainers.log" },
                                { "ports_file",
                                  options_.folder + "/trainers.ports" } },
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -1,4 +1,5 @@
-// cactusford-standin: the outside systems, for tests and the demo.
+// cactusford-standin: stand-ins for the external systems (platform, backend
+// servers and trainers), for tests and the demo.
 
 #include "cactusford/process/daemon.h"
 #include "cactusford/timeline/event.h"
@@ -30,6 +31,8 @@
   stopped = true;
 }
 
+// Writes the bound ports to `ports_file`. The file appears under its name only
+// when it is complete, because tests wait for it.
 void
 write_ports(const json& settings, const json& ports)
 {
@@ -49,9 +52,10 @@
   }
 }
 
+// Assigns the value of a key, if the key is present.
 template<typename T>
 void
-read_key(const json& j, const char* key, T& value)
+read_optional(const json& j, const char* key, T& value)
 {
   value = j.value(key, value);
 }
@@ -60,13 +64,13 @@
 run_platform(const json& j)
 {
   standins::platform_settings s;
-  read_key(j, "address", s.address);
-  read_key(j, "latency_ms", s.latency_ms);
-  read_key(j, "list_lag_ms", s.list_lag_ms);
-  read_key(j, "writes_per_s", s.writes_per_s);
-  read_key(j, "reads_per_s", s.reads_per_s);
-  standins::platform p{ s };
-  const int port = p.start();
+  read_optional(j, "address", s.address);
+  read_optional(j, "latency_ms", s.latency_ms);
+  read_optional(j, "list_lag_ms", s.list_lag_ms);
+  read_optional(j, "writes_per_s", s.writes_per_s);
+  read_optional(j, "reads_per_s", s.reads_per_s);
+  standins::platform platform{ s };
+  const int port = platform.start();
   if (port == 0) {
     std::cerr << "address " << s.address << " cannot be bound\n";
     return process::exit_settings;
@@ -80,24 +84,24 @@
 engine_settings_from(const json& j)
 {
   standins::engine_settings s;
-  read_key(j, "name", s.name);
-  read_key(j, "address", s.address);
-  read_key(j, "threads", s.threads);
-  read_key(j, "step_base_us", s.step_base_us);
-  read_key(j, "step_per_sequence_us", s.step_per_sequence_us);
-  read_key(j, "prefill_us_per_token", s.prefill_us_per_token);
-  read_key(j, "max_batch", s.max_batch);
-  read_key(j, "kv_tokens", s.kv_tokens);
-  read_key(j, "cache_tokens", s.cache_tokens);
-  read_key(j, "length_mean", s.length_mean);
-  read_key(j, "length_sigma", s.length_sigma);
-  read_key(j, "straggler_share", s.straggler_share);
-  read_key(j, "straggler_factor", s.straggler_factor);
-  read_key(j, "stage_ms", s.stage_ms);
-  read_key(j, "swap_ms", s.swap_ms);
-  read_key(j, "obeys_fencing", s.obeys_fencing);
-  read_key(j, "reports_versions", s.reports_versions);
-  read_key(j, "latency_us", s.latency_us);
+  read_optional(j, "name", s.name);
+  read_optional(j, "address", s.address);
+  read_optional(j, "threads", s.threads);
+  read_optional(j, "step_base_us", s.step_base_us);
+  read_optional(j, "step_per_sequence_us", s.step_per_sequence_us);
+  read_optional(j, "prefill_us_per_token", s.prefill_us_per_token);
+  read_optional(j, "max_batch", s.max_batch);
+  read_optional(j, "kv_tokens", s.kv_tokens);
+  read_optional(j, "cache_tokens", s.cache_tokens);
+  read_optional(j, "length_mean", s.length_mean);
+  read_optional(j, "length_sigma", s.length_sigma);
+  read_optional(j, "straggler_share", s.straggler_share);
+  read_optional(j, "straggler_factor", s.straggler_factor);
+  read_optional(j, "stage_ms", s.stage_ms);
+  read_optional(j, "swap_ms", s.swap_ms);
+  read_optional(j, "obeys_fencing", s.obeys_fencing);
+  read_optional(j, "reports_versions", s.reports_versions);
+  read_optional(j, "latency_us", s.latency_us);
   return s;
 }
 
@@ -114,10 +118,10 @@
   }
   for (const auto& item : j.value("services", json::array())) {
     standins::service_settings s;
-    read_key(item, "name", s.name);
-    read_key(item, "address", s.address);
-    read_key(item, "threads", s.threads);
-    read_key(item, "work_ms", s.work_ms);
+    read_optional(item, "name", s.name);
+    read_optional(item, "address", s.address);
+    read_optional(item, "threads", s.threads);
+    read_optional(item, "work_ms", s.work_ms);
     services.push_back(std::make_unique<standins::service>(s));
     ports[s.name] = services.back()->start();
   }
@@ -132,10 +136,10 @@
   std::vector<std::thread> threads;
   for (const auto& item : j.value("trainers", json::array())) {
     standins::trainer_settings s;
-    read_key(item, "name", s.name);
-    read_key(item, "entries", s.entries);
-    read_key(item, "steps", s.steps);
-    read_key(item, "train_ms", s.train_ms);
+    read_optional(item, "name", s.name);
+    read_optional(item, "entries", s.entries);
+    read_optional(item, "steps", s.steps);
+    read_optional(item, "train_ms", s.train_ms);
     s.log = j.value("log", std::string{});
     threads.emplace_back([s] { standins::run_trainer(s, stopped); });
   }
@@ -178,7 +182,7 @@
   if (role == "trainers") {
     return run_trainers(j);
   }
-  std::cerr << "key role: '" << role
-            << "'; choose platform, backends or trainers\n";
+  std::cerr << "unknown value '" << role
+            << "' of key role; expected platform, backends or trainers\n";
   return process::exit_settings;
 }
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -30,12 +30,13 @@
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
   if (store::contains_unreadable(o.spec)) {
-    throw store::field_error{ { "spec", "bytes that are no UTF-8" } };
+    throw store::field_error{ { "spec", "bytes that are not valid UTF-8" } };
   }
   return o;
 }
 
-// An object in an answer, or why it can't be read.
+// Decodes an object of a reply. An object that cannot be decoded is added to
+// `unreadable_objects` of the reply.
 store::decoded<store::object>
 read_object(const json& j, store::reply& r)
 {
@@ -78,10 +79,10 @@
 }
 
 std::string
-encode_reply(const store::reply& r, const std::set<std::string>& as_text)
+encode_reply(const store::reply& r, const std::set<std::string>& sent_as_text)
 {
-  const auto shown = [&](const store::object& o) {
-    return as_text.contains(o.name) ? json(o.name) : to_json(o);
+  const auto encode_object = [&](const store::object& o) {
+    return sent_as_text.contains(o.name) ? json(o.name) : to_json(o);
   };
   json j{ { "what", static_cast<int>(r.result) },
           { "more", r.more },
@@ -89,11 +90,11 @@
           { "items", json::array() },
           { "changes", json::array() } };
   for (const auto& o : r.items) {
-    j["items"].push_back(shown(o));
+    j["items"].push_back(encode_object(o));
   }
   for (const auto& c : r.changes) {
     j["changes"].push_back(
-      { { "object", shown(c.value) }, { "deleted", c.deleted } });
+      { { "object", encode_object(c.value) }, { "deleted", c.deleted } });
   }
   auto text = j.dump();
   for (auto at = text.find(object_store::invalid_byte_marker);
@@ -190,7 +191,7 @@
   return r;
 }
 
-// {"NAME": ["KEY", ...], ...}
+// Format: {"NAME": ["KEY", ...], ...}
 workspaces::directory
 workspaces_from(const json& j)
 {
@@ -235,7 +236,7 @@
   });
 }
 
-// GET /batches/ID?after=N&wait=MS and DELETE /batches/ID.
+// Decodes GET /batches/ID?after=N&wait=MS and DELETE /batches/ID.
 edge::batch_request
 batch_request_from(const http::request& r)
 {
@@ -270,7 +271,8 @@
   d.kinds = { "configuration", "main", "backends", "versions", "retired" };
   d.version_line = "version";
   d.store.encode = [](const store::call& c) {
-    // Watches are joined by their targets.
+    // Identical watches of several clients are joined by their target, so it
+    // contains the kind and the revision.
     const auto target = "/" + c.kind + "?since=" + std::to_string(c.since);
     return http::request{
       "POST", target, { { "Host", "s" } }, to_json(c).dump()
@@ -314,7 +316,7 @@
   o.name = name;
   o.spec = spec;
   o.revision = ++revision_;
-  note_change(kind, o, false);
+  record_change(kind, o, false);
   return revision_;
 }
 
@@ -347,31 +349,32 @@
 {
   history_.clear();
   history_from_ = revision_;
-  auto cut = std::move(watches_);
+  auto aborted = std::move(watches_);
   watches_.clear();
-  for (const auto& w : cut) {
+  for (const auto& w : aborted) {
     w.caller.abort();
   }
 }
 
 void
-object_store::note_change(const std::string& kind,
-                          store::object o,
-                          bool deleted)
+object_store::record_change(const std::string& kind,
+                            store::object o,
+                            bool deleted)
 {
   history_[kind].push_back({ std::move(o), deleted });
-  answer_watches();
+  respond_to_watches();
 }
 
 void
-object_store::answer_watches()
+object_store::respond_to_watches()
 {
   auto waiting = std::move(watches_);
   watches_.clear();
   for (auto& w : waiting) {
     const auto r = perform(w.call);
-    const bool over = http::now_ms() >= w.until_ms;
-    if (!r.changes.empty() || r.result != store::call_result::done || over) {
+    const bool is_expired = http::now_ms() >= w.deadline_ms;
+    if (!r.changes.empty() || r.result != store::call_result::done ||
+        is_expired) {
       w.caller.respond({ 200, {}, encode_reply(r, objects_sent_as_text) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
@@ -386,7 +389,7 @@
     std::make_shared<http::timer>(io_, std::chrono::milliseconds{ tick_ms });
   t->async_wait([this, t](asio::error_code ec) {
     if (!ec) {
-      answer_watches();
+      respond_to_watches();
       tick();
     }
   });
@@ -402,22 +405,22 @@
   }
   const auto call = call_from(j);
   ++calls_;
-  const auto f = inject_fault ? inject_fault(call) : fault::none;
-  if (f == fault::refuse) {
+  const auto chosen = inject_fault ? inject_fault(call) : fault::none;
+  if (chosen == fault::refuse) {
     c.respond({ 503, {}, "" });
     return;
   }
-  if (f == fault::drop_request) {
+  if (chosen == fault::drop_request) {
     unanswered_.push_back(c);
     return;
   }
-  if (call.op == store::operation::watch && f == fault::none) {
+  if (call.op == store::operation::watch && chosen == fault::none) {
     watches_.push_back({ c, call, http::now_ms() + call.wait_ms });
-    answer_watches();
+    respond_to_watches();
     return;
   }
   const auto r = perform(call);
-  if (f == fault::drop_response) {
+  if (chosen == fault::drop_response) {
     unanswered_.push_back(c);
     return;
   }
@@ -474,7 +477,7 @@
       o.revision = ++revision_;
       kind[c.name] = o;
       r.items.push_back(o);
-      note_change(c.kind, o, false);
+      record_change(c.kind, o, false);
       return r;
     }
     case operation::replace:
@@ -492,15 +495,15 @@
         c.body;
       found->second.revision = ++revision_;
       r.items.push_back(found->second);
-      note_change(c.kind, found->second, false);
+      record_change(c.kind, found->second, false);
       return r;
     case operation::remove:
       r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
-        auto gone = found->second;
-        gone.revision = ++revision_;
+        auto removed = found->second;
+        removed.revision = ++revision_;
         kind.erase(found);
-        note_change(c.kind, gone, true);
+        record_change(c.kind, removed, true);
       }
       return r;
   }
--- a/standins/order_engine.cc
+++ b/standins/order_engine.cc
@@ -24,10 +24,10 @@
 }
 
 store::decoded<edge::engine_report>
-report_from(const http::response& a)
+report_from(const http::response& response)
 {
   return store::try_decode([&] {
-    const auto j = store::parse_message(a.body);
+    const auto j = store::parse_message(response.body);
     edge::engine_report r;
     r.started_ms = store::uint_field(j, "started_ms");
     r.orders = store::uint_field(j, "orders");
@@ -73,17 +73,17 @@
   };
   d.report_from = report_from;
   d.order_request = order_request;
-  d.order_answer_from = [](const http::response& a) {
-    return a.status == 202 ? edge::order_answer::accepted
-                           : edge::order_answer::conflict;
+  d.order_answer_from = [](const http::response& response) {
+    return response.status == 202 ? edge::order_answer::accepted
+                                  : edge::order_answer::conflict;
   };
 }
 
 void
 order_engine::restart()
 {
-  constexpr std::uint64_t life_ms = 5000;
-  started_ms += life_ms;
+  constexpr std::uint64_t uptime_ms = 5000;
+  started_ms += uptime_ms;
   orders = 0;
 }
 
@@ -101,18 +101,18 @@
 order_engine::serve(const http::call& c)
 {
   if (c.request().target == order_path) {
-    take_order(c);
+    handle_order(c);
     return;
   }
-  const auto shown = std::exchange(late_report, std::nullopt);
-  c.respond({ 200, {}, to_json(shown.value_or(report())).dump() });
+  const auto late = std::exchange(late_report, std::nullopt);
+  c.respond({ 200, {}, to_json(late.value_or(report())).dump() });
 }
 
 void
-order_engine::take_order(const http::call& c)
+order_engine::handle_order(const http::call& c)
 {
   const auto j = json::parse(c.request().body);
-  received r;
+  received_order r;
   r.version = j.at("version").get<std::uint64_t>();
   r.expected_orders = j.at("expected_orders").get<std::uint64_t>();
   if (std::exchange(lose_order, false)) {
--- a/standins/order_engine.h
+++ b/standins/order_engine.h
@@ -1,5 +1,6 @@
-// A stand-in engine that reports what it holds and takes weight orders. It may
-// start again under its id, and answer with late word of the life before.
+// Stand-in for an engine that reports its weight versions and accepts weight
+// orders. It can restart under the same id and deliver a late report of its
+// previous incarnation.
 #pragma once
 
 #include "cactusford/edge/dialect.h"
@@ -21,35 +22,38 @@
 
   std::string address() const;
 
-  // Fills in how reports and orders look.
+  // Adds the JSON encoding of reports and orders to a dialect.
   static void add_order_codecs(edge::dialect& d);
 
-  // Starts again: orders are counted from zero, weights stay.
+  // Simulates a restart: the order count returns to zero, the weight version
+  // stays.
   void restart();
 
   std::string model = "m";
   std::uint64_t version = 1;
+  // Number of orders accepted since the start.
   std::uint64_t orders = 0;
   std::uint64_t started_ms = 1000;
-  // The next report is this one, as if it had been made earlier.
+  // Sent once in place of the next report, as a report that was delayed.
   std::optional<edge::engine_report> late_report;
-  // The next order gets no answer and is not carried out.
+  // The next order is neither carried out nor answered.
   bool lose_order = false;
 
-  struct received
+  struct received_order
   {
     std::uint64_t version = 0;
     std::uint64_t expected_orders = 0;
     bool accepted = false;
   };
-  std::vector<received> received_orders;
+  std::vector<received_order> received_orders;
 
 private:
   void serve(const http::call& c);
-  void take_order(const http::call& c);
+  void handle_order(const http::call& c);
   edge::engine_report report() const;
 
   http::server server_;
+  // Keeps the connections of lost orders open.
   std::vector<http::call> unanswered_;
 };
 
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -28,16 +28,16 @@
 }
 
 void
-answer(httplib::Response& out, int status, const json& body)
+respond_json(httplib::Response& response, int status, const json& body)
 {
-  out.status = status;
-  out.set_content(body.dump(), "application/json");
+  response.status = status;
+  response.set_content(body.dump(), "application/json");
 }
 
 std::uint64_t
-number(const httplib::Request& in, const char* name)
+uint_param(const httplib::Request& request, const char* name)
 {
-  const auto text = in.get_param_value(name);
+  const auto text = request.get_param_value(name);
   return text.empty() ? 0 : std::stoull(text);
 }
 
@@ -59,7 +59,7 @@
     stopped_ = true;
   }
   changed_.notify_all();
-  for (auto& t : late_) {
+  for (auto& t : list_updates_) {
     t.join();
   }
   server_.stop();
@@ -77,27 +77,34 @@
 {
   auto& http = server_.http;
   const auto* object_path = R"(/v1/objects/([a-z_]+)/([^/]+))";
-  http.Get(object_path, [this](const auto& in, auto& out) { get(in, out); });
-  http.Put(object_path, [this](const auto& in, auto& out) { put(in, out); });
-  http.Get("/v1/changes",
-           [this](const auto& in, auto& out) { changes(in, out); });
-  http.Post("/control/faults",
-            [this](const auto& in, auto& out) { set_faults(in, out); });
-  http.Post("/control/instances",
-            [this](const auto& in, auto& out) { set_instances(in, out); });
-  http.Get("/control/counts", [this](const auto&, auto& out) {
+  http.Get(object_path, [this](const auto& request, auto& response) {
+    get(request, response);
+  });
+  http.Put(object_path, [this](const auto& request, auto& response) {
+    put(request, response);
+  });
+  http.Get("/v1/changes", [this](const auto& request, auto& response) {
+    changes(request, response);
+  });
+  http.Post("/control/faults", [this](const auto& request, auto& response) {
+    set_faults(request, response);
+  });
+  http.Post("/control/instances", [this](const auto& request, auto& response) {
+    set_instances(request, response);
+  });
+  http.Get("/control/counts", [this](const auto&, auto& response) {
     const std::lock_guard lock{ mutex_ };
-    answer(out, 200, counts_);
+    respond_json(response, 200, counts_);
   });
 }
 
 bool
-platform::bucket::take()
+platform::token_bucket::try_take()
 {
   const auto now = process::steady_ms();
-  tokens =
-    std::min(rate, tokens + rate * static_cast<double>(now - at_ms) / 1000.0);
-  at_ms = now;
+  tokens = std::min(
+    rate, tokens + rate * static_cast<double>(now - refilled_ms) / 1000.0);
+  refilled_ms = now;
   if (tokens < 1) {
     return false;
   }
@@ -106,59 +113,61 @@
 }
 
 bool
-platform::enter(httplib::Response& out, bucket& limit, const char* duty)
+platform::admit(httplib::Response& response,
+                token_bucket& limit,
+                const char* operation)
 {
-  std::uint32_t wait = settings_.latency_ms;
-  bool down = false;
-  bool limited = false;
+  std::uint32_t delay_ms = settings_.latency_ms;
+  bool is_down = false;
+  bool is_limited = false;
   {
     const std::lock_guard lock{ mutex_ };
-    ++counts_[duty];
-    wait += faults_.slow_ms;
-    down = faults_.outage;
-    limited = !down && !limit.take();
+    ++counts_[operation];
+    delay_ms += faults_.slow_ms;
+    is_down = faults_.outage;
+    is_limited = !is_down && !limit.try_take();
   }
-  std::this_thread::sleep_for(milliseconds{ wait });
-  if (down) {
-    answer(out, 503, { { "error", "outage" } });
-  } else if (limited) {
-    answer(out, 429, { { "error", "rate limit" } });
+  std::this_thread::sleep_for(milliseconds{ delay_ms });
+  if (is_down) {
+    respond_json(response, 503, { { "error", "outage" } });
+  } else if (is_limited) {
+    respond_json(response, 429, { { "error", "rate limit" } });
   }
-  return !down && !limited;
+  return !is_down && !is_limited;
 }
 
 void
-platform::get(const httplib::Request& in, httplib::Response& out)
+platform::get(const httplib::Request& request, httplib::Response& response)
 {
-  if (!enter(out, reads_, "get")) {
+  if (!admit(response, reads_, "get")) {
     return;
   }
   const std::lock_guard lock{ mutex_ };
   const auto key =
-    std::string{ in.matches[1] } + "/" + std::string{ in.matches[2] };
+    std::string{ request.matches[1] } + "/" + std::string{ request.matches[2] };
   const auto found = objects_.find(key);
   if (found == objects_.end()) {
-    answer(out, 404, { { "error", "not found" } });
+    respond_json(response, 404, { { "error", "not found" } });
     return;
   }
   const auto* e = &found->second;
   if (faults_.stale_by > 0) {
-    const auto limit =
+    const auto max_version =
       revision_ > faults_.stale_by ? revision_ - faults_.stale_by : 0;
-    auto& older = history_[key];
-    const auto at = older.upper_bound(limit);
-    if (at != older.begin()) {
-      e = &std::prev(at)->second;
+    auto& versions = history_[key];
+    const auto newer = versions.upper_bound(max_version);
+    if (newer != versions.begin()) {
+      e = &std::prev(newer)->second;
     }
   }
-  answer(
-    out,
+  respond_json(
+    response,
     200,
     to_json(e->kind, e->name, e->version, e->deleted, e->spec, e->request_id));
 }
 
 std::uint64_t
-platform::store(entry e)
+platform::store(stored_object e)
 {
   e.version = ++revision_;
   const auto key = e.kind + "/" + e.name;
@@ -174,45 +183,46 @@
 }
 
 void
-platform::put(const httplib::Request& in, httplib::Response& out)
+platform::put(const httplib::Request& request, httplib::Response& response)
 {
-  if (!enter(out, writes_, "put")) {
+  if (!admit(response, writes_, "put")) {
     return;
   }
-  const auto body = json::parse(in.body, nullptr, false);
+  const auto body = json::parse(request.body, nullptr, false);
   if (!body.is_object()) {
-    answer(out, 400, { { "error", "not JSON" } });
+    respond_json(response, 400, { { "error", "not JSON" } });
     return;
   }
   std::unique_lock lock{ mutex_ };
-  entry e;
-  e.kind = in.matches[1];
-  e.name = in.matches[2];
+  stored_object e;
+  e.kind = request.matches[1];
+  e.name = request.matches[2];
   e.spec = body.value("spec", std::string{});
   e.request_id = body.value("request_id", std::string{});
   e.deleted = body.value("deleted", false);
   const auto found = objects_.find(e.kind + "/" + e.name);
   const auto version = found == objects_.end() ? 0 : found->second.version;
-  const bool gone = found != objects_.end() && found->second.deleted;
+  const bool is_deleted = found != objects_.end() && found->second.deleted;
   const auto expected = body.value("expected_version", std::uint64_t{ 0 });
-  if (expected != version && !(gone && expected == 0)) {
-    answer(out, 409, { { "version", version } });
+  if (expected != version && !(is_deleted && expected == 0)) {
+    respond_json(response, 409, { { "version", version } });
     return;
   }
-  const auto written = store(std::move(e));
+  const auto new_version = store(std::move(e));
   if (faults_.lose_answers > 0) {
     --faults_.lose_answers;
     lock.unlock();
-    // The write stands, and its answer never arrives.
-    out.status = 504;
+    // The write has taken effect, but its response is lost: the client receives
+    // a gateway timeout instead.
+    response.status = 504;
     std::this_thread::sleep_for(milliseconds{ 50 });
     return;
   }
-  answer(out, 200, { { "version", written } });
+  respond_json(response, 200, { { "version", new_version } });
 }
 
 json
-platform::list_since(std::uint64_t since, const std::string& exclude)
+platform::changed_since(std::uint64_t since, const std::string& exclude)
 {
   auto items = json::array();
   for (const auto& [key, e] : objects_) {
@@ -225,31 +235,33 @@
 }
 
 void
-platform::changes(const httplib::Request& in, httplib::Response& out)
+platform::changes(const httplib::Request& request, httplib::Response& response)
 {
-  const auto wait = number(in, "wait_ms");
-  if (!enter(out, reads_, wait > 0 ? "watch" : "list")) {
+  const auto wait_ms = uint_param(request, "wait_ms");
+  if (!admit(response, reads_, wait_ms > 0 ? "watch" : "list")) {
     return;
   }
-  const auto since = number(in, "since");
-  const auto exclude = in.get_param_value("exclude");
+  const auto since = uint_param(request, "since");
+  const auto exclude = request.get_param_value("exclude");
   std::unique_lock lock{ mutex_ };
-  auto items = list_since(since, exclude);
-  changed_.wait_for(lock, milliseconds{ wait }, [&] {
-    items = list_since(since, exclude);
-    return wait == 0 || !items.empty() || faults_.outage || stopped_;
+  auto items = changed_since(since, exclude);
+  changed_.wait_for(lock, milliseconds{ wait_ms }, [&] {
+    items = changed_since(since, exclude);
+    return wait_ms == 0 || !items.empty() || faults_.outage || stopped_;
   });
   if (faults_.outage) {
-    answer(out, 503, { { "error", "outage" } });
+    respond_json(response, 503, { { "error", "outage" } });
     return;
   }
-  answer(out, 200, { { "revision", revision_ }, { "objects", items } });
+  respond_json(
+    response, 200, { { "revision", revision_ }, { "objects", items } });
 }
 
 void
-platform::set_faults(const httplib::Request& in, httplib::Response& out)
+platform::set_faults(const httplib::Request& request,
+                     httplib::Response& response)
 {
-  const auto body = json::parse(in.body, nullptr, false);
+  const auto body = json::parse(request.body, nullptr, false);
   const std::lock_guard lock{ mutex_ };
   faults_.outage = body.value("outage", faults_.outage);
   faults_.slow_ms = body.value("slow_ms", faults_.slow_ms);
@@ -259,21 +271,24 @@
                   .with("target", "platform")
                   .with("what", body.dump()));
   changed_.notify_all();
-  answer(out, 200, json::object());
+  respond_json(response, 200, json::object());
 }
 
-// The list of instances, as the platform comes to know it: late.
+// Applies the new list after `list_lag_ms`, because a platform notices changes
+// of its instances late.
 void
-platform::set_instances(const httplib::Request& in, httplib::Response& out)
+platform::set_instances(const httplib::Request& request,
+                        httplib::Response& response)
 {
-  auto body = json::parse(in.body, nullptr, false);
+  auto body = json::parse(request.body, nullptr, false);
   const std::lock_guard lock{ mutex_ };
-  late_.emplace_back([this, body = std::move(body)] {
-    std::unique_lock late{ mutex_ };
-    changed_.wait_for(
-      late, milliseconds{ settings_.list_lag_ms }, [this] { return stopped_; });
+  list_updates_.emplace_back([this, body = std::move(body)] {
+    std::unique_lock update_lock{ mutex_ };
+    changed_.wait_for(update_lock,
+                      milliseconds{ settings_.list_lag_ms },
+                      [this] { return stopped_; });
     for (const auto& item : body) {
-      entry e;
+      stored_object e;
       e.kind = "instance";
       e.name = item.at("id");
       e.deleted = item.value("gone", false);
@@ -281,15 +296,16 @@
       spec.erase("id");
       e.spec = spec.dump();
       e.request_id = "list";
-      const auto held = objects_.find("instance/" + e.name);
-      const bool same = held != objects_.end() && held->second.spec == e.spec &&
-                        held->second.deleted == e.deleted;
-      if (!same) {
+      const auto current = objects_.find("instance/" + e.name);
+      const bool is_unchanged = current != objects_.end() &&
+                                current->second.spec == e.spec &&
+                                current->second.deleted == e.deleted;
+      if (!is_unchanged) {
         store(std::move(e));
       }
     }
   });
-  answer(out, 200, json::object());
+  respond_json(response, 200, json::object());
 }
 
 } // namespace cactusford::standins
--- a/standins/platform.h
+++ b/standins/platform.h
@@ -1,4 +1,4 @@
-// Stand-in of the platform's object API, with faults to switch on.
+// Stand-in for the object API of the platform, with injected faults.
 // Protocol: docs/PLATFORM.md.
 #pragma once
 
@@ -17,21 +17,25 @@
 struct platform_settings
 {
   std::string address = "127.0.0.1:0";
+  // Delay of each call.
   std::uint32_t latency_ms = 2;
-  // How late the list of instances is.
+  // Delay before a change of the instance list becomes visible.
   std::uint32_t list_lag_ms = 300;
+  // Rate limits; calls beyond them are refused with status 429.
   double writes_per_s = 300;
   double reads_per_s = 2000;
 };
 
-// Switched by POST /control/faults.
+// Set by POST /control/faults.
 struct platform_faults
 {
+  // All calls fail with status 503.
   bool outage = false;
+  // Additional delay of each call.
   std::uint32_t slow_ms = 0;
-  // Writes that take effect without an answer.
+  // Number of writes that take effect but whose response is lost.
   std::uint32_t lose_answers = 0;
-  // Reads answer from this many revisions ago.
+  // Reads of an object return its state from this many revisions ago.
   std::uint64_t stale_by = 0;
 };
 
@@ -40,10 +44,11 @@
 public:
   explicit platform(platform_settings s);
   ~platform();
+  // Returns the port, or 0 if the address cannot be bound.
   int start();
 
 private:
-  struct entry
+  struct stored_object
   {
     std::string kind;
     std::string name;
@@ -52,38 +57,47 @@
     std::string spec;
     std::string request_id;
   };
-  // Tokens for a rate: refilled with time, one a call.
-  struct bucket
+  // Rate limit: tokens are refilled over time and each call takes one.
+  struct token_bucket
   {
     double rate = 0;
     double tokens = 0;
-    std::uint64_t at_ms = 0;
-    bool take();
+    std::uint64_t refilled_ms = 0;
+    bool try_take();
   };
 
   void add_routes();
-  bool enter(httplib::Response& out, bucket& limit, const char* duty);
-  void get(const httplib::Request& in, httplib::Response& out);
-  void put(const httplib::Request& in, httplib::Response& out);
-  void changes(const httplib::Request& in, httplib::Response& out);
-  void set_faults(const httplib::Request& in, httplib::Response& out);
-  void set_instances(const httplib::Request& in, httplib::Response& out);
-  std::uint64_t store(entry e);
-  nlohmann::json list_since(std::uint64_t since, const std::string& exclude);
+  // Counts a call and applies the latency, the outage and the rate limit.
+  // Returns false if the call was refused and the response is set.
+  bool admit(httplib::Response& response,
+             token_bucket& limit,
+             const char* operation);
+  void get(const httplib::Request& request, httplib::Response& response);
+  void put(const httplib::Request& request, httplib::Response& response);
+  void changes(const httplib::Request& request, httplib::Response& response);
+  void set_faults(const httplib::Request& request, httplib::Response& response);
+  void set_instances(const httplib::Request& request,
+                     httplib::Response& response);
+  std::uint64_t store(stored_object e);
+  // Returns the objects that changed after a revision, except those whose kind
+  // occurs in `exclude`.
+  nlohmann::json changed_since(std::uint64_t since, const std::string& exclude);
 
   platform_settings settings_;
   server server_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::map<std::string, entry> objects_;
-  // Earlier versions, for stale reads.
-  std::map<std::string, std::map<std::uint64_t, entry>> history_;
+  std::map<std::string, stored_object> objects_;
+  // All versions of each object, for stale reads.
+  std::map<std::string, std::map<std::uint64_t, stored_object>> history_;
   std::uint64_t revision_ = 0;
   platform_faults faults_;
-  bucket writes_;
-  bucket reads_;
+  token_bucket writes_;
+  token_bucket reads_;
+  // Number of calls by operation.
   std::map<std::string, std::uint64_t> counts_;
-  std::vector<std::thread> late_;
+  // Apply changes of the instance list after `list_lag_ms`.
+  std::vector<std::thread> list_updates_;
   bool stopped_ = false;
 };
 
--- a/standins/server.cc
+++ b/standins/server.cc
@@ -19,9 +19,11 @@
 int
 server::start(const std::string& address)
 {
-  const auto a = link::address_from(address);
-  const int port = a.port == 0 ? http.bind_to_any_port(a.ip)
-                               : (http.bind_to_port(a.ip, a.port) ? a.port : 0);
+  const auto endpoint = link::address_from(address);
+  const int port =
+    endpoint.port == 0
+      ? http.bind_to_any_port(endpoint.ip)
+      : (http.bind_to_port(endpoint.ip, endpoint.port) ? endpoint.port : 0);
   if (port > 0) {
     thread_ = std::thread{ [this] { http.listen_after_bind(); } };
   }
--- a/standins/server.h
+++ b/standins/server.h
@@ -1,4 +1,5 @@
-// An HTTP server on a thread of its own, for the stand-ins.
+// HTTP server that runs on its own thread and handles the requests of a
+// stand-in on a thread pool.
 #pragma once
 
 #include <httplib.h>
@@ -15,7 +16,8 @@
   explicit server(std::size_t threads);
   ~server();
 
-  // Returns the bound port, 0 when it cannot be bound. Routes come first.
+  // Binds the address and starts to serve. Returns the port, or 0 if the
+  // address cannot be bound. All routes must be added before.
   int start(const std::string& address);
   void stop();
 
--- a/standins/service.cc
+++ b/standins/service.cc
@@ -26,28 +26,30 @@
 int
 service::start()
 {
-  server_.http.Post("/control/faults", [this](const auto& in, auto& out) {
-    const auto body = json::parse(in.body, nullptr, false);
-    work_ms_ = body.value("work_ms", work_ms_.load());
-    out.set_content("{}", "application/json");
-  });
-  const auto run = [this](const httplib::Request& in, httplib::Response& out) {
-    const auto id = in.get_header_value("X-Request-Id");
+  server_.http.Post(
+    "/control/faults", [this](const auto& request, auto& response) {
+      const auto body = json::parse(request.body, nullptr, false);
+      work_ms_ = body.value("work_ms", work_ms_.load());
+      response.set_content("{}", "application/json");
+    });
+  const auto handle = [this](const httplib::Request& request,
+                             httplib::Response& response) {
+    const auto id = request.get_header_value("X-Request-Id");
     timeline::log(timeline::event{ "service_executed" }
                     .with("service", settings_.name)
                     .with("id", id)
-                    .with("path", in.path));
+                    .with("path", request.path));
     std::this_thread::sleep_for(std::chrono::milliseconds{ work_ms_ });
-    const auto hash = XXH3_64bits(in.body.data(), in.body.size());
-    json body{ { "id", id }, { "run", ++runs_ }, { "echo", in.body } };
-    if (in.path == "/score") {
+    const auto hash = XXH3_64bits(request.body.data(), request.body.size());
+    json body{ { "id", id }, { "run", ++runs_ }, { "echo", request.body } };
+    if (request.path == "/score") {
       body = { { "score", static_cast<double>(hash % 1000) / 1000.0 } };
     }
-    out.set_content(body.dump(), "application/json");
+    response.set_content(body.dump(), "application/json");
   };
-  server_.http.Get(".*", run);
-  server_.http.Post(".*", run);
-  server_.http.Put(".*", run);
+  server_.http.Get(".*", handle);
+  server_.http.Post(".*", handle);
+  server_.http.Put(".*", handle);
   return server_.start(settings_.address);
 }
 
--- a/standins/service.h
+++ b/standins/service.h
@@ -1,5 +1,6 @@
-// Stand-in of a plain service: it counts what it runs. "/score" scores a
-// sample, any other path books.
+// Stand-in for a plain service. Each request takes `work_ms` and is logged, so
+// that tests can count its runs. The path "/score" returns a score for a
+// sample; any other path simulates a booking and echoes the request.
 #pragma once
 
 #include "standins/server.h"
@@ -15,6 +16,7 @@
   std::string name;
   std::string address = "127.0.0.1:0";
   std::size_t threads = 64;
+  // Processing time of a request.
   std::uint32_t work_ms = 5;
 };
 
@@ -23,6 +25,7 @@
 public:
   explicit service(service_settings s);
   ~service();
+  // Returns the port, or 0 if the address cannot be bound.
   int start();
   const std::string& name() const { return settings_.name; }
 
--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -7,7 +7,7 @@
 namespace {
 
 std::string
-data_of(const std::string& item, std::uint64_t event)
+event_data(const std::string& item, std::uint64_t event)
 {
   return item + "-" + std::to_string(event);
 }
@@ -32,8 +32,8 @@
 stream_engine::text_of(const std::string& item, std::uint64_t events)
 {
   std::string text;
-  for (std::uint64_t e = 1; e <= events; ++e) {
-    text += (e > 1 ? "\n" : "") + data_of(item, e);
+  for (std::uint64_t event = 1; event <= events; ++event) {
+    text += (event > 1 ? "\n" : "") + event_data(item, event);
   }
   return text;
 }
@@ -56,12 +56,12 @@
     c.respond({ 503, { { "Id", item }, { "Not-Run", "1" } }, "" });
     return;
   }
-  const auto last = http::number(r.fields, "Last").value_or(0);
-  runs.push_back({ item, last });
+  const auto last_event = http::number(r.fields, "Last").value_or(0);
+  runs.push_back({ item, last_event });
   if (!poison_body.empty() && r.body == poison_body) {
-    auto t = std::make_shared<asio::steady_timer>(
+    auto timer = std::make_shared<asio::steady_timer>(
       io_, std::chrono::milliseconds{ gap_ms });
-    t->async_wait([this, t](asio::error_code ec) {
+    timer->async_wait([this, timer](asio::error_code ec) {
       if (!ec) {
         crash();
       }
@@ -71,7 +71,7 @@
   ++streaming;
   c.on_gone([this] { --streaming; });
   c.begin(200, { { "Id", item }, { "Version", std::to_string(version) } });
-  stream(c, item, last + 1);
+  stream(c, item, last_event + 1);
 }
 
 void
@@ -84,29 +84,29 @@
 void
 stream_engine::stream(const http::call& c,
                       const std::string& item,
-                      std::uint64_t next)
+                      std::uint64_t next_event)
 {
-  auto t = std::make_shared<asio::steady_timer>(
+  auto timer = std::make_shared<asio::steady_timer>(
     io_, std::chrono::milliseconds{ gap_ms });
-  t->async_wait([this, t, c, item, next](asio::error_code ec) {
+  timer->async_wait([this, timer, c, item, next_event](asio::error_code ec) {
     if (ec || !c.is_open()) {
       return;
     }
-    if (next > events) {
+    if (next_event > events) {
       --streaming;
       c.finish();
       return;
     }
     const bool first_run = runs.back().resumed_at == 0;
-    if (next == abort_inside_event && first_run) {
-      c.write("id: " + std::to_string(next) + "\nda");
+    if (next_event == abort_inside_event && first_run) {
+      c.write("id: " + std::to_string(next_event) + "\nda");
       --streaming;
       c.abort();
       return;
     }
-    c.write("id: " + std::to_string(next) + "\ndata: " + data_of(item, next) +
-            "\n\n");
-    stream(c, item, next + 1);
+    c.write("id: " + std::to_string(next_event) +
+            "\ndata: " + event_data(item, next_event) + "\n\n");
+    stream(c, item, next_event + 1);
   });
 }
 
--- a/standins/stream_engine.h
+++ b/standins/stream_engine.h
@@ -1,5 +1,5 @@
-// A stand-in engine that streams the text of items, and a scorer, with faults
-// to switch on.
+// Stand-in for an engine that streams the text of batch items, and for a
+// scorer. Tests set the public members to inject faults.
 #pragma once
 
 #include "cactusford/http/server.h"
@@ -21,19 +21,20 @@
 
   std::string address() const;
 
-  // Every item has this many events, this far apart.
+  // Number of events per item, and the time between two events.
   std::uint64_t events = 5;
   std::uint64_t gap_ms = 5;
   std::uint64_t version = 1;
-  // Ends the stream in the middle of event n of an item's first run; 0: never.
+  // Aborts the connection in the middle of this event, unless the latest run
+  // was resumed; 0 means never.
   std::uint64_t abort_inside_event = 0;
-  // It ends, and all its runs with it.
+  // Crashes the engine, which aborts all its runs.
   void crash();
 
-  // A run with this body ends the engine.
+  // A run with this body crashes the engine; an empty string means none.
   std::string poison_body;
   bool has_crashed = false;
-  // Answers refused as not run because weights are being loaded.
+  // Refuses all runs as not executed, as an engine does while it loads weights.
   bool loading = false;
 
   struct run
@@ -41,17 +42,21 @@
     std::string item;
     std::uint64_t resumed_at = 0;
   };
-  // All runs that were begun here.
+  // All runs that were started on this engine.
   std::vector<run> runs;
+  // Number of scorer calls by item.
   std::map<std::string, int> scores;
+  // Number of runs that are being streamed.
   std::size_t streaming = 0;
 
-  // The text that an item has when it is whole.
+  // Returns the complete text of an item.
   static std::string text_of(const std::string& item, std::uint64_t events);
 
 private:
   void serve(const http::call& c);
-  void stream(const http::call& c, const std::string& item, std::uint64_t next);
+  void stream(const http::call& c,
+              const std::string& item,
+              std::uint64_t next_event);
 
   asio::io_context& io_;
   std::string id_;
--- a/standins/trainer.cc
+++ b/standins/trainer.cc
@@ -14,13 +14,13 @@
 namespace {
 
 void
-rest(std::uint64_t ms)
+sleep_for_ms(std::uint64_t ms)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ ms });
 }
 
 std::string
-runs_text(const rollout::sample& s)
+format_runs(const rollout::sample& s)
 {
   std::string text;
   for (const auto& run : s.runs()) {
@@ -30,49 +30,51 @@
   return text;
 }
 
-// Its event log is what it holds: a sample counts as applied once its line is
-// written. A line that a crash has cut was not applied and is fetched again.
+// Restores the position of the trainer from its event log. A sample counts as
+// applied once its line is written; the sample of a line that a crash truncated
+// is fetched again.
 rollout::cursor
 load_cursor(const trainer_settings& s)
 {
-  rollout::cursor c;
+  rollout::cursor cursor;
   std::ifstream in{ s.log };
   std::string line;
   while (std::getline(in, line)) {
-    const auto r = timeline::parse(line);
-    if (!r || r->value("trainer") != s.name) {
+    const auto event = timeline::parse(line);
+    if (!event || event->value("trainer") != s.name) {
       continue;
     }
-    if (r->name == "trainer_published") {
-      c.step = r->number("step") + 1;
-      c.weight_version = r->number("version");
-      c.received.clear();
-    } else if (r->name == "sample_received" && r->number("step") == c.step) {
-      rollout::set_received(c.received,
-                            static_cast<std::uint32_t>(r->number("slot")));
-      c.fence = std::max(c.fence, r->number("fence"));
+    if (event->name == "trainer_published") {
+      cursor.step = event->number("step") + 1;
+      cursor.weight_version = event->number("version");
+      cursor.received.clear();
+    } else if (event->name == "sample_received" &&
+               event->number("step") == cursor.step) {
+      rollout::set_received(cursor.received,
+                            static_cast<std::uint32_t>(event->number("slot")));
+      cursor.fence = std::max(cursor.fence, event->number("fence"));
     }
   }
-  return c;
+  return cursor;
 }
 
 void
 log_sample(const trainer_settings& s,
-           const rollout::sample& one,
-           const rollout::batch& b,
-           const rollout::cursor& at)
+           const rollout::sample& sample,
+           const rollout::batch& batch,
+           const rollout::cursor& position)
 {
   timeline::log(timeline::event{ "sample_received" }
                   .with("trainer", s.name)
-                  .with("sample", one.sample_id())
-                  .with("job", one.slot().job())
-                  .with("step", one.slot().step())
-                  .with("slot", one.slot_index())
-                  .with("oldest", one.oldest_version())
-                  .with("version", at.weight_version)
-                  .with("bound", b.staleness_bound)
-                  .with("fence", at.fence)
-                  .with("runs", runs_text(one)));
+                  .with("sample", sample.sample_id())
+                  .with("job", sample.slot().job())
+                  .with("step", sample.slot().step())
+                  .with("slot", sample.slot_index())
+                  .with("oldest", sample.oldest_version())
+                  .with("version", position.weight_version)
+                  .with("bound", batch.staleness_bound)
+                  .with("fence", position.fence)
+                  .with("runs", format_runs(sample)));
 }
 
 } // namespace
@@ -82,45 +84,45 @@
 {
   rollout::trainer_client::builder builder;
   builder.trainer(s.name).start_at(load_cursor(s)).wait_ms(500);
-  for (const auto& e : s.entries) {
-    builder.entry(e);
+  for (const auto& address : s.entries) {
+    builder.entry(address);
   }
   auto client = builder.build();
-  auto began = process::steady_ms();
+  auto wait_started_ms = process::steady_ms();
   std::uint64_t samples = 0;
   while (!stopped && client.position().step <= s.steps) {
-    const auto at = client.position();
-    const auto b = client.fetch();
-    if (!b) {
-      rest(std::max<std::uint32_t>(b.error.retry_after_ms, 50));
+    const auto position = client.position();
+    const auto batch = client.fetch();
+    if (!batch) {
+      sleep_for_ms(std::max<std::uint32_t>(batch.error.retry_after_ms, 50));
       continue;
     }
-    for (const auto& one : b.value.samples) {
-      log_sample(s, one, b.value, client.position());
+    for (const auto& sample : batch.value.samples) {
+      log_sample(s, sample, batch.value, client.position());
       ++samples;
     }
-    if (!b.value.step_whole) {
+    if (!batch.value.step_whole) {
       continue;
     }
-    const auto waited = process::steady_ms() - began;
-    rest(s.train_ms);
+    const auto waited_ms = process::steady_ms() - wait_started_ms;
+    sleep_for_ms(s.train_ms);
     timeline::log(timeline::event{ "step_completed" }
                     .with("trainer", s.name)
-                    .with("step", at.step)
-                    .with("size", b.value.step_size)
+                    .with("step", position.step)
+                    .with("size", batch.value.step_size)
                     .with("samples", samples)
-                    .with("idle_ms", waited)
+                    .with("idle_ms", waited_ms)
                     .with("train_ms", s.train_ms));
     samples = 0;
-    began = process::steady_ms();
-    while (!stopped && client.publish(at.weight_version + 1)) {
-      rest(100);
+    wait_started_ms = process::steady_ms();
+    while (!stopped && client.publish(position.weight_version + 1)) {
+      sleep_for_ms(100);
     }
     if (!stopped) {
       timeline::log(timeline::event{ "trainer_published" }
                       .with("trainer", s.name)
-                      .with("step", at.step)
-                      .with("version", at.weight_version + 1));
+                      .with("step", position.step)
+                      .with("version", position.weight_version + 1));
     }
   }
 }
