--- a/cactusford/http/client.h
+++ b/cactusford/http/client.h
@@ -22,7 +22,7 @@
   // No byte of the request has left this process.
   not_sent,
   // Sent; the connection ended before the answer was whole.
-  cut,
+  connection_lost,
   timed_out,
   // Bytes that are no answer.
   malformed,
