--- a/cactusford/http/probe.cc
+++ b/cactusford/http/probe.cc
@@ -13,11 +13,11 @@
 probe(asio::io_context& io,
       const std::string& address,
       std::uint64_t timeout_ms,
-      std::function<void(probe_end)> done)
+      std::function<void(probe_result)> done)
 {
   const auto peer = endpoint_from(address);
   if (!peer) {
-    asio::post(io, [done] { done(probe_end::silent); });
+    asio::post(io, [done] { done(probe_result::silent); });
     return;
   }
   auto socket = std::make_shared<asio::ip::tcp::socket>(io);
@@ -32,11 +32,11 @@
   socket->async_connect(*peer, [socket, timer, done](asio::error_code ec) {
     timer->cancel();
     if (!ec) {
-      done(probe_end::accepted);
+      done(probe_result::accepted);
     } else if (ec == asio::error::connection_refused) {
-      done(probe_end::refused);
+      done(probe_result::refused);
     } else {
-      done(probe_end::silent);
+      done(probe_result::silent);
     }
   });
 }
--- a/cactusford/http/probe.h
+++ b/cactusford/http/probe.h
@@ -9,7 +9,7 @@
 
 namespace cactusford::http {
 
-enum class probe_end
+enum class probe_result
 {
   accepted,
   // The machine is there, and no process listens.
@@ -22,6 +22,6 @@
 probe(asio::io_context& io,
       const std::string& address,
       std::uint64_t timeout_ms,
-      std::function<void(probe_end)> done);
+      std::function<void(probe_result)> done);
 
 } // namespace cactusford::http
--- a/cactusford/quarantine/manager.cc
+++ b/cactusford/quarantine/manager.cc
@@ -170,9 +170,10 @@
     return;
   }
   unconfirmed_[key] = { of, { f } };
-  http::probe(io_, address, probe_timeout_ms, [this, key](http::probe_end end) {
-    on_probed(key, end == http::probe_end::refused);
-  });
+  http::probe(
+    io_, address, probe_timeout_ms, [this, key](http::probe_result end) {
+      on_probed(key, end == http::probe_result::refused);
+    });
 }
 
 bool
@@ -274,14 +275,15 @@
 void
 manager::probe_peer(const backends::incarnation& of, const std::string& address)
 {
-  http::probe(io_, address, probe_timeout_ms, [this, of](http::probe_end end) {
-    if (end == http::probe_end::refused && !is_known_crash(of)) {
-      process::log_line(timeline::event{ "backend_ended_idle" }
-                          .with("backend", of.id)
-                          .with("started_ms", of.started_ms));
-      record_crash(of, {});
-    }
-  });
+  http::probe(
+    io_, address, probe_timeout_ms, [this, of](http::probe_result end) {
+      if (end == http::probe_result::refused && !is_known_crash(of)) {
+        process::log_line(timeline::event{ "backend_ended_idle" }
+                            .with("backend", of.id)
+                            .with("started_ms", of.started_ms));
+        record_crash(of, {});
+      }
+    });
 }
 
 // A response shows that the request does not crash every server that runs it.
