--- a/cactusford/http/probe.cc
+++ b/cactusford/http/probe.cc
@@ -17,7 +17,7 @@
 {
   const auto peer = endpoint_from(address);
   if (!peer) {
-    asio::post(io, [done] { done(probe_result::silent); });
+    asio::post(io, [done] { done(probe_result::no_response); });
     return;
   }
   auto socket = std::make_shared<asio::ip::tcp::socket>(io);
@@ -36,7 +36,7 @@
     } else if (ec == asio::error::connection_refused) {
       done(probe_result::refused);
     } else {
-      done(probe_result::silent);
+      done(probe_result::no_response);
     }
   });
 }
--- a/cactusford/http/probe.h
+++ b/cactusford/http/probe.h
@@ -15,7 +15,7 @@
   // The machine is there, and no process listens.
   refused,
   // No answer in time, or no such address.
-  silent,
+  no_response,
 };
 
 void
