--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -207,7 +207,7 @@
                       }
                       self->read_from_store(caller, r);
                     });
-  caller.on_gone([sent] { sent->cancel(); });
+  caller.on_disconnect([sent] { sent->cancel(); });
 }
 
 void
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -671,7 +671,7 @@
     calls.start(std::move(f), [this, c, id](forward_outcome&& o) {
       on_forwarded(c, id, std::move(o));
     });
-  c.on_gone([this, cancel, id] {
+  c.on_disconnect([this, cancel, id] {
     metrics.add("calls_abandoned");
     process::log_line(
       timeline::event{ "caller_disconnected" }.with("request", id));
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -362,7 +362,7 @@
   asio::io_context io;
   bool gone = false;
   http::server server{ io, {}, [&](const call& c) {
-                        c.on_gone([&] { gone = true; });
+                        c.on_disconnect([&] { gone = true; });
                       } };
   cr_assert_not(server.listen("127.0.0.1:0"));
   {
--- a/cactusford/http/server.cc
+++ b/cactusford/http/server.cc
@@ -474,7 +474,7 @@
 }
 
 void
-call::on_gone(std::function<void()> handler) const
+call::on_disconnect(std::function<void()> handler) const
 {
   if (is_open()) {
     connection_->gone = std::move(handler);
--- a/cactusford/http/server.h
+++ b/cactusford/http/server.h
@@ -51,7 +51,7 @@
   void abort() const;
 
   // Called when the caller leaves before its answer is whole.
-  void on_gone(std::function<void()> handler) const;
+  void on_disconnect(std::function<void()> handler) const;
 
   bool is_open() const;
 
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -65,7 +65,7 @@
                 [caller, metadata](http::end_state end, http::response&& r) {
                   caller.respond(relayed_response(end, r, metadata));
                 });
-  caller.on_gone([sent] { sent->cancel(); });
+  caller.on_disconnect([sent] { sent->cancel(); });
 }
 
 // Instances that watch the same kind from the same revision share one call, and
--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -69,7 +69,7 @@
     return;
   }
   ++streaming;
-  c.on_gone([this] { --streaming; });
+  c.on_disconnect([this] { --streaming; });
   c.begin(200, { { "Id", item }, { "Version", std::to_string(version) } });
   stream(c, item, last + 1);
 }
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -77,7 +77,7 @@
       to, request, o, [this, c](http::end_state end, http::response&& r) {
         answer_later(c, end, std::move(r));
       });
-    c.on_gone([sent] { sent->cancel(); });
+    c.on_disconnect([sent] { sent->cancel(); });
   }
 
   void answer_later(const http::call& c,
