--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -237,7 +237,7 @@
         self->finish(end_state::not_sent);
         return;
       }
-      tune(self->socket);
+      configure_socket(self->socket);
       self->read();
       self->start(e);
     });
--- a/cactusford/http/server.cc
+++ b/cactusford/http/server.cc
@@ -354,7 +354,7 @@
       return;
     }
     if (!ec && self->all.size() < self->limits.connections) {
-      tune(socket);
+      configure_socket(socket);
       std::make_shared<server_connection>(self, std::move(socket))->read();
       self->sweep();
     }
--- a/cactusford/http/socket-test.cc
+++ b/cactusford/http/socket-test.cc
@@ -20,7 +20,7 @@
   tcp::socket near{ io };
   near.connect(acceptor.local_endpoint());
   auto far = acceptor.accept();
-  http::tune(far);
+  http::configure_socket(far);
   std::array<char, 8> buffer{};
   asio::error_code ec;
   far.read_some(asio::buffer(buffer), ec);
--- a/cactusford/http/socket.cc
+++ b/cactusford/http/socket.cc
@@ -48,7 +48,7 @@
 }
 
 void
-tune(asio::ip::tcp::socket& socket)
+configure_socket(asio::ip::tcp::socket& socket)
 {
   set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1);
   set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
--- a/cactusford/http/socket.h
+++ b/cactusford/http/socket.h
@@ -19,7 +19,7 @@
 // Sends small messages at once, notices a peer that has gone silent, and never
 // waits in a read.
 void
-tune(asio::ip::tcp::socket& socket);
+configure_socket(asio::ip::tcp::socket& socket);
 
 // A read found no bytes yet: to be tried again.
 bool
--- a/soak/proxy.cc
+++ b/soak/proxy.cc
@@ -161,8 +161,8 @@
                                 p->close();
                                 return;
                               }
-                              http::tune(p->sides[0]);
-                              http::tune(p->sides[1]);
+                              http::configure_socket(p->sides[0]);
+                              http::configure_socket(p->sides[1]);
                               p->pump(0);
                               p->pump(1);
                             });
