--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -194,7 +194,7 @@
   http::exchange_options o;
   o.timeout_ms = r.wait_ms + peer_read_ms;
   o.connect_timeout_ms = peer_read_ms / 2;
-  auto sent = std::make_shared<http::pending>();
+  auto sent = std::make_shared<http::pending_request>();
   *sent =
     deps.http.fetch(b.stored.owner_address,
                     request,
--- a/cactusford/batches/state.h
+++ b/cactusford/batches/state.h
@@ -45,7 +45,7 @@
   std::uint64_t run = 0;
   backends::incarnation backend;
   std::string address;
-  http::pending pending;
+  http::pending_request pending;
   event_reader reader{ "" };
   int status = 0;
   bool not_run = false;
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -99,7 +99,7 @@
 
 struct forwarder::attempt
 {
-  http::pending exchange;
+  http::pending_request exchange;
   backends::incarnation backend;
   std::string address;
   std::uint64_t sent_ms = 0;
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -57,7 +57,7 @@
   ++calls_;
   const auto asked_ms = http::boot_ms();
   const relay_metadata metadata{ asked_ms, asked_ms, {} };
-  auto sent = std::make_shared<http::pending>();
+  auto sent = std::make_shared<http::pending_request>();
   *sent =
     http_.fetch(settings_.address,
                 request,
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -72,7 +72,7 @@
     o.timeout_ms = 60000;
     auto request = c.request();
     remove_hop_by_hop(request.fields);
-    auto sent = std::make_shared<http::pending>();
+    auto sent = std::make_shared<http::pending_request>();
     *sent = client.fetch(
       to, request, o, [this, c](http::end_state end, http::response&& r) {
         answer_later(c, end, std::move(r));
