--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -299,7 +299,7 @@
   i->not_run =
     h.status == misdirected || http::find(h.fields, names.not_run).has_value();
   auto* backend = backends::find(deps.registry, i->backend);
-  const auto version = http::number(h.fields, names.weight_version);
+  const auto version = http::find_number(h.fields, names.weight_version);
   if (backend != nullptr && version) {
     backend->info.versions[b.submission.model] = *version;
   }
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -89,7 +89,7 @@
 {
   const auto& fields = peer.request().fields;
   const auto target = http::find(fields, target_header);
-  const auto remaining_ms = http::number(fields, remaining_time_header);
+  const auto remaining_ms = http::find_number(fields, remaining_time_header);
   if (!target || !remaining_ms) {
     process::log_line(
       timeline::event{ "forwarded_submission_unreadable" }.with("batch", id));
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -569,7 +569,7 @@
   }
   if (route->kind == routes::call_kind::rollout) {
     const auto remaining_ms =
-      http::number(request.fields, wire.headers.deadline_ms)
+      http::find_number(request.fields, wire.headers.deadline_ms)
         .value_or(route->timeout_ms);
     batch_manager.accept(
       c, id, caller.workspace, c.received_ms() + remaining_ms);
@@ -664,7 +664,7 @@
   f.workspace = caller.workspace;
   f.route = r;
   const auto caller_wait_ms =
-    http::number(f.request.fields, wire.headers.deadline_ms)
+    http::find_number(f.request.fields, wire.headers.deadline_ms)
       .value_or(r.timeout_ms);
   f.give_up_ms = c.received_ms() + std::min(caller_wait_ms, r.timeout_ms);
   const auto cancel =
--- a/cactusford/http/message.cc
+++ b/cactusford/http/message.cc
@@ -84,7 +84,7 @@
 }
 
 std::optional<std::uint64_t>
-number(const headers& all, std::string_view name) noexcept
+find_number(const headers& all, std::string_view name) noexcept
 {
   const auto text = find(all, name);
   return text ? parse_number(*text) : std::nullopt;
--- a/cactusford/http/message.h
+++ b/cactusford/http/message.h
@@ -36,7 +36,7 @@
 
 // Whole and not negative; nothing when absent or malformed.
 std::optional<std::uint64_t>
-number(const headers& all, std::string_view name) noexcept;
+find_number(const headers& all, std::string_view name) noexcept;
 
 std::optional<std::uint64_t>
 parse_number(std::string_view text) noexcept;
--- a/cactusford/http/server.cc
+++ b/cactusford/http/server.cc
@@ -202,7 +202,7 @@
     refuse(431);
     return false;
   }
-  const auto length = http::number(request.fields, "Content-Length");
+  const auto length = http::find_number(request.fields, "Content-Length");
   if (length && *length > owner->limits.body_bytes) {
     refuse(413);
     return false;
--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -56,7 +56,7 @@
     c.respond({ 503, { { "Id", item }, { "Not-Run", "1" } }, "" });
     return;
   }
-  const auto last = http::number(r.fields, "Last").value_or(0);
+  const auto last = http::find_number(r.fields, "Last").value_or(0);
   runs.push_back({ item, last });
   if (!fatal_body.empty() && r.body == fatal_body) {
     auto t = std::make_shared<asio::steady_timer>(
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -181,7 +181,7 @@
     } else if (r.method == "DELETE") {
       batch_manager->end(c, b);
     } else {
-      b.after = http::number(r.fields, "After").value_or(0);
+      b.after = http::find_number(r.fields, "After").value_or(0);
       batch_manager->read(c, b, false);
     }
   }
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -45,7 +45,7 @@
 is_quarantined(const answer& a)
 {
   constexpr std::uint64_t min_retry_after_s = 60;
-  const auto retry_after_s = http::number(a.value.fields, "Retry-After");
+  const auto retry_after_s = http::find_number(a.value.fields, "Retry-After");
   return a.value.status == 503 &&
          retry_after_s.value_or(0) >= min_retry_after_s;
 }
