--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -209,7 +209,7 @@
   http::exchange_options o;
   o.timeout_ms = run_limit_ms;
   o.echo = { names.request_id, item.id };
-  o.reset_when_given_up = true;
+  o.reset_on_abandon = true;
   http::exchange_events events;
   const auto self = shared_from_this();
   events.on_head =
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -452,7 +452,7 @@
     margin_ms;
   o.connect_timeout_ms = std::min<std::uint64_t>(o.connect_timeout_ms, 250);
   o.echo = { dialect_.headers.request_id, call->input.id };
-  o.reset_when_given_up = true;
+  o.reset_on_abandon = true;
   call->attempts[index].exchange = http_.fetch(
     b.info.address,
     prepare(*call, b),
--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -249,7 +249,7 @@
   current = e;
   e->on = weak_from_this();
   e->sent = true;
-  must_not_arrive = e->options.reset_when_given_up;
+  must_not_arrive = e->options.reset_on_abandon;
   writing = true;
   asio::async_write(
     socket,
--- a/cactusford/http/client.h
+++ b/cactusford/http/client.h
@@ -51,7 +51,7 @@
   // reset then. Without it what a partition holds up may still arrive, as a
   // write to the store should: made again, it waits for the store to be found
   // again.
-  bool reset_when_given_up = false;
+  bool reset_on_abandon = false;
 };
 
 // Bounds of the pool.
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -195,7 +195,7 @@
   scripted_peer peer{ io };
   client c{ io };
   exchange_options o;
-  o.reset_when_given_up = true;
+  o.reset_on_abandon = true;
   auto sent =
     c.fetch(peer.address(), get("1"), o, [](end_state, response&&) {});
   while (peer.silent.empty()) {
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -324,7 +324,7 @@
   http::exchange_options o;
   o.timeout_ms = report_timeout_ms;
   // Late execution would be harmless, but the connection may be dead.
-  o.reset_when_given_up = true;
+  o.reset_on_abandon = true;
   const auto request = dialect_.usage_request(
     { w.number, w.value, settings_.instance, duty_.fence() });
   http_.fetch(
