--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -776,7 +776,7 @@
   is_leaving = true;
   last_announced_ms = 0;
   leave_started_ms = http::now_ms();
-  caller_server.leave();
+  caller_server.start_draining();
   store.stop_relaying();
   batch_manager.leave([this] { has_handed_over_batches = true; });
   meter.leave();
