--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -470,7 +470,7 @@
                             fresh->workspaces ? fresh->workspaces->all.size()
                                               : std::size_t{ 0 })
                       .with("revision", o.revision));
-  caller_server.limit(fresh->limits);
+  caller_server.set_limits(fresh->limits);
   table = std::make_shared<const routes::table>(std::move(*fresh));
   batch_manager.on_backends();
 }
