--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -787,13 +787,14 @@
 edge_process::poll_drained()
 {
   const auto drain_ms = http::now_ms() - leave_started_ms;
-  const bool idle = caller_server.busy() == 0 && peer_server.busy() == 0 &&
+  const bool idle = caller_server.active_requests() == 0 &&
+                    peer_server.active_requests() == 0 &&
                     drain_ms >= min_drain_ms;
   const auto limit = runtime.settings.grace_ms - kill_margin_ms;
   if ((idle && has_handed_over_batches && meter.has_left()) ||
       drain_ms >= limit) {
     process::log_line(timeline::event{ "left" }
-                        .with("busy", caller_server.busy())
+                        .with("busy", caller_server.active_requests())
                         .with("stayed_ms", drain_ms));
     runtime.stop();
     return;
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -369,12 +369,12 @@
     asio::ip::tcp::socket s{ io };
     s.connect({ asio::ip::make_address_v4("127.0.0.1"), server.port() });
     asio::write(s, asio::buffer(std::string{ "GET / HTTP/1.1\r\n\r\n" }));
-    while (server.busy() == 0) {
+    while (server.active_requests() == 0) {
       io.run_one();
     }
   }
   while (!gone) {
     io.run_one();
   }
-  cr_assert_eq(server.busy(), 0);
+  cr_assert_eq(server.active_requests(), 0);
 }
