--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -271,7 +271,7 @@
     [this](const http::call& c) {
       metrics.set("store_calls", static_cast<double>(store.calls()));
       metrics.set("backend_connections_opened",
-                  static_cast<double>(http.opened()));
+                  static_cast<double>(http.connections_opened()));
       metrics.set("batches_owned", static_cast<double>(batch_manager.owned()));
       export_view_metrics();
       export_quarantine_metrics();
