--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -187,7 +187,7 @@
       done(last_reply);
       return;
     }
-    link::ask(
+    link::send_request(
       daemon.io,
       daemon.links,
       link::address_from(found->second.value.link),
@@ -425,13 +425,13 @@
                                        const std::string& request)
   {
     return run_on_io<result<std::string>>([=, this](auto done) {
-      link::ask(daemon.io,
-                daemon.links,
-                link::address_from(peer),
-                path,
-                request,
-                request_timeout_ms,
-                done);
+      link::send_request(daemon.io,
+                         daemon.links,
+                         link::address_from(peer),
+                         path,
+                         request,
+                         request_timeout_ms,
+                         done);
     });
   }
 
--- a/cactusford/sidecar/home_membership.cc
+++ b/cactusford/sidecar/home_membership.cc
@@ -141,19 +141,19 @@
   calls::handover_request r;
   r.set_requester(ownership_.self);
   r.set_map_version(ownership_.map_version);
-  link::ask(daemon_.io,
-            daemon_.links,
-            link::address_from(link),
-            "/calls/handover",
-            r.SerializeAsString(),
-            request_timeout_ms,
-            [this, from](const result<std::string>& answer) {
-              open_requests_.erase(from);
-              calls::handover_reply reply;
-              if (answer && reply.ParseFromString(answer.value)) {
-                on_handover_reply(from, reply);
-              }
-            });
+  link::send_request(daemon_.io,
+                     daemon_.links,
+                     link::address_from(link),
+                     "/calls/handover",
+                     r.SerializeAsString(),
+                     request_timeout_ms,
+                     [this, from](const result<std::string>& answer) {
+                       open_requests_.erase(from);
+                       calls::handover_reply reply;
+                       if (answer && reply.ParseFromString(answer.value)) {
+                         on_handover_reply(from, reply);
+                       }
+                     });
 }
 
 void
@@ -253,7 +253,7 @@
     if (m.instance == ownership_.self || link.empty()) {
       continue;
     }
-    link::ask(
+    link::send_request(
       daemon_.io,
       daemon_.links,
       link::address_from(link),
@@ -340,13 +340,13 @@
   auto ranked = membership::rank(entries, "home_map/" + settings_.serves);
   ranked.resize(std::min(ranked.size(), announce_entry_count));
   for (const auto& entry : ranked) {
-    link::ask(daemon_.io,
-              daemon_.links,
-              link::address_from(link_address_of(entry)),
-              path,
-              ownership_.self + " " + number,
-              request_timeout_ms,
-              [](const result<std::string>&) {});
+    link::send_request(daemon_.io,
+                       daemon_.links,
+                       link::address_from(link_address_of(entry)),
+                       path,
+                       ownership_.self + " " + number,
+                       request_timeout_ms,
+                       [](const result<std::string>&) {});
   }
 }
 
