--- a/cactusford/entry/entry.cc
+++ b/cactusford/entry/entry.cc
@@ -4,7 +4,7 @@
 #include "cactusford/entry/http.h"
 #include "cactusford/entry/owner.h"
 #include "cactusford/entry/rpc.h"
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/timeline/event.h"
 
 #include <iostream>
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -2,7 +2,7 @@
 
 #include "cactusford/configuration/configuration.pb.h"
 #include "cactusford/configuration/tree.h"
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/operators/operators.grpc.pb.h"
 #include "cactusford/rollout/rollout.grpc.pb.h"
 #include "cactusford/timeline/event.h"
--- a/cactusford/link/ask.cc
+++ b/cactusford/link/ask.cc
@@ -1,4 +1,4 @@
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 
 #include <asio/steady_timer.hpp>
 
--- a/cactusford/link/link-test.cc
+++ b/cactusford/link/link-test.cc
@@ -1,6 +1,6 @@
 #include "cactusford/link/link.h"
 
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/testing/section.h"
 
 #include <asio/io_context.hpp>
--- a/cactusford/sidecar/home_membership.cc
+++ b/cactusford/sidecar/home_membership.cc
@@ -1,6 +1,6 @@
 #include "cactusford/sidecar/home_membership.h"
 
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/membership/rendezvous.h"
 #include "cactusford/timeline/event.h"
 
