--- a/bench/load.cc
+++ b/bench/load.cc
@@ -285,7 +285,7 @@
         rest(100);
         break;
       }
-      const auto id = process::new_id();
+      const auto id = process::generate_id();
       const httplib::Headers headers{
         { "X-Request-Id", id },
         { "X-Deadline-Ms", std::to_string(options_.deadline_ms) }
@@ -321,9 +321,9 @@
   caller_link to{ number };
   std::uint64_t turn = 0;
   while (!shared_->stopped) {
-    const auto key = booking ? process::new_id() : std::string{};
+    const auto key = booking ? process::generate_id() : std::string{};
     const auto text = "seat " + std::to_string(number) + "/" +
-                      std::to_string(turn++) + "/" + process::new_id();
+                      std::to_string(turn++) + "/" + process::generate_id();
     for (std::uint32_t i = 0; i <= options_.repeats; ++i) {
       auto* c = to.to_entry(options_.entries(),
                             options_.deadline_ms + client_margin_ms);
@@ -331,7 +331,7 @@
         rest(100);
         break;
       }
-      const auto id = process::new_id();
+      const auto id = process::generate_id();
       httplib::Headers headers{ { "X-Request-Id", id },
                                 { "X-Deadline-Ms",
                                   std::to_string(options_.deadline_ms) } };
--- a/cactusford/entry/home_map_writer.cc
+++ b/cactusford/entry/home_map_writer.cc
@@ -160,9 +160,12 @@
                        std::uint64_t version,
                        const configuration::home_map& next)
 {
-  const platform::write w{ "home_map",        service,
-                           version,           configuration::to_spec(next),
-                           process::new_id(), false };
+  const platform::write w{ "home_map",
+                           service,
+                           version,
+                           configuration::to_spec(next),
+                           process::generate_id(),
+                           false };
   daemon_.work(
     [this, w] { return daemon_.platform.put(w); },
     [this, service, w](const result<std::uint64_t>& r) {
--- a/cactusford/entry/http.cc
+++ b/cactusford/entry/http.cc
@@ -292,7 +292,7 @@
   {
     auto id = in.get_header_value("X-Request-Id");
     if (id.empty() || id.size() > 128) {
-      id = process::new_id();
+      id = process::generate_id();
     }
     timeline::log(timeline::event{ "request_accepted" }
                     .with("request", id)
--- a/cactusford/entry/lease_manager.cc
+++ b/cactusford/entry/lease_manager.cc
@@ -117,10 +117,12 @@
   ownership::lease next;
   next.holder = a == ownership::action::release ? "" : lease.self;
   next.fence = a == ownership::action::renew ? lease.seen.fence : 0;
-  const platform::write w{
-    "lease",           trainer, lease.seen.version, ownership::to_spec(next),
-    process::new_id(), false
-  };
+  const platform::write w{ "lease",
+                           trainer,
+                           lease.seen.version,
+                           ownership::to_spec(next),
+                           process::generate_id(),
+                           false };
   daemon_.work(
     [this, w] { return daemon_.platform.put(w); },
     [this, trainer, a](const result<std::uint64_t>& r) {
--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -592,7 +592,7 @@
                              { "weight_version", s->weight_version },
                              { "fence", s->fence } }
                              .dump(),
-                           process::new_id(),
+                           process::generate_id(),
                            false };
   daemon_.work(
     [this, w] {
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -245,7 +245,7 @@
   result<std::uint64_t> put(platform::write w)
   {
     if (w.request_id.empty()) {
-      w.request_id = process::new_id();
+      w.request_id = process::generate_id();
     }
     auto r = daemon.platform.put(w);
     if (r) {
--- a/cactusford/operators/command.cc
+++ b/cactusford/operators/command.cc
@@ -123,7 +123,7 @@
     r.set_expected_version(o.expected_version >= 0
                              ? static_cast<std::uint64_t>(o.expected_version)
                              : held.value.version());
-    r.set_request_id(process::new_id());
+    r.set_request_id(process::generate_id());
     const auto answer = c.apply(r);
     if (!answer) {
       return fail(answer.error);
@@ -207,7 +207,7 @@
   r.set_kind(o.words[1]);
   r.set_name(o.words[2]);
   r.set_expected_version(held.value.version());
-  r.set_request_id(process::new_id());
+  r.set_request_id(process::generate_id());
   const auto answer = c.remove(r);
   if (!answer) {
     return fail(answer.error);
--- a/cactusford/process/daemon.cc
+++ b/cactusford/process/daemon.cc
@@ -173,7 +173,7 @@
 }
 
 std::string
-new_id()
+generate_id()
 {
   static thread_local std::mt19937_64 random{ std::random_device{}() };
   const auto ms = timeline::wall_ms();
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -98,7 +98,7 @@
 
 // A fresh id: a UUID of version 7 (RFC 9562), so ids sort by time.
 std::string
-new_id();
+generate_id();
 
 // Milliseconds since 1970 in a UUID of version 7; 0 when it is not one.
 std::uint64_t
--- a/cactusford/rollout/client.cc
+++ b/cactusford/rollout/client.cc
@@ -151,7 +151,7 @@
   auto& s = *state_;
   // The same id on every repeat, or a lost answer would look like a conflict.
   if (s.publish_id.empty()) {
-    s.publish_id = process::new_id();
+    s.publish_id = process::generate_id();
   }
   publish_request request;
   request.set_trainer(s.options.name_);
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -513,8 +513,8 @@
     }
   }
   line.insert(line.end(), words.begin(), words.end());
-  const auto output =
-    options_.folder + "/operator-" + cactusford::process::new_id() + ".out";
+  const auto output = options_.folder + "/operator-" +
+                      cactusford::process::generate_id() + ".out";
   const auto pid = spawn_program(line, output);
   int status = 0;
   waitpid(pid, &status, 0);
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -57,7 +57,7 @@
   auto c = client_for(fleet, "entry-0");
   for (int i = 0; i < 400; ++i) {
     const auto r = c.Post("/service/orders-app/warm",
-                          { { "Idempotency-Key", process::new_id() } },
+                          { { "Idempotency-Key", process::generate_id() } },
                           "x",
                           "text/plain");
     if (r && r->status == 200) {
--- a/tests/path-test.cc
+++ b/tests/path-test.cc
@@ -55,7 +55,7 @@
   }
   SECTION("a booking repeated through the other entry runs once")
   {
-    const httplib::Headers key{ { "Idempotency-Key", process::new_id() } };
+    const httplib::Headers key{ { "Idempotency-Key", process::generate_id() } };
     const auto first =
       c.Post("/service/orders-app/book", key, "beef", "text/plain");
     auto other = client_for(fleet, "entry-1");
