--- a/cactusford/entry/http.cc
+++ b/cactusford/entry/http.cc
@@ -456,7 +456,7 @@
       return;
     }
     const auto issued = number_from_header(
-      in, "Idempotency-Key-Issued-Ms", process::issue_time_of(key));
+      in, "Idempotency-Key-Issued-Ms", process::uuid_time_ms(key));
     if (!key.empty() && (issued == 0 || key.size() > 128)) {
       send_refusal(
         out,
--- a/cactusford/process/daemon.cc
+++ b/cactusford/process/daemon.cc
@@ -192,7 +192,7 @@
 }
 
 std::uint64_t
-issue_time_of(std::string_view uuid)
+uuid_time_ms(std::string_view uuid)
 {
   constexpr std::size_t uuid_size = 36;
   if (uuid.size() != uuid_size || uuid[8] != '-' || uuid[13] != '-' ||
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -102,7 +102,7 @@
 
 // Milliseconds since 1970 in a UUID of version 7; 0 when it is not one.
 std::uint64_t
-issue_time_of(std::string_view uuid);
+uuid_time_ms(std::string_view uuid);
 
 // Parses `--settings FILE`, and prints help or a one-line error. Returns the
 // path, or an empty string with `exit_code` set.
