--- a/cactusford/process/daemon.cc
+++ b/cactusford/process/daemon.cc
@@ -208,7 +208,7 @@
 }
 
 std::string
-settings_path(int argc, char** argv, const char* about, int& exit_code)
+parse_settings_path(int argc, char** argv, const char* about, int& exit_code)
 {
   char* path = nullptr;
   const std::array<poptOption, 3> options{
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -107,6 +107,6 @@
 // Parses `--settings FILE`, and prints help or a one-line error. Returns the
 // path, or an empty string with `exit_code` set.
 std::string
-settings_path(int argc, char** argv, const char* about, int& exit_code);
+parse_settings_path(int argc, char** argv, const char* about, int& exit_code);
 
 } // namespace cactusford::process
--- a/daemons/sidecar.cc
+++ b/daemons/sidecar.cc
@@ -8,7 +8,7 @@
 {
   using namespace cactusford;
   int code = 0;
-  const auto path = process::settings_path(argc, argv, "", code);
+  const auto path = process::parse_settings_path(argc, argv, "", code);
   if (path.empty()) {
     return code;
   }
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -153,7 +153,7 @@
 main(int argc, char** argv)
 {
   int code = 0;
-  const auto path = process::settings_path(argc, argv, "", code);
+  const auto path = process::parse_settings_path(argc, argv, "", code);
   if (path.empty()) {
     return code;
   }
