--- a/cactusford/entry/entry.cc
+++ b/cactusford/entry/entry.cc
@@ -103,7 +103,7 @@
   void stop()
   {
     daemon_.links.stop_listening();
-    daemon_.work(
+    daemon_.run_on_worker(
       [this] {
         rpc_.stop();
         return true;
--- a/cactusford/entry/home_map_writer.cc
+++ b/cactusford/entry/home_map_writer.cc
@@ -166,7 +166,7 @@
                            configuration::to_spec(next),
                            process::generate_id(),
                            false };
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, w] { return daemon_.platform.put(w); },
     [this, service, w](const result<std::uint64_t>& r) {
       auto& state = services_[service];
--- a/cactusford/entry/lease_manager.cc
+++ b/cactusford/entry/lease_manager.cc
@@ -94,7 +94,7 @@
 void
 lease_manager::read(const std::string& trainer)
 {
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, trainer] { return daemon_.platform.get("lease", trainer); },
     [this, trainer](const result<platform::object>& r) {
       auto& lease = leases_[trainer];
@@ -123,7 +123,7 @@
                            ownership::to_spec(next),
                            process::generate_id(),
                            false };
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, w] { return daemon_.platform.put(w); },
     [this, trainer, a](const result<std::uint64_t>& r) {
       auto& state = leases_[trainer];
--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -594,7 +594,7 @@
                              .dump(),
                            process::generate_id(),
                            false };
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, w] {
       auto r = daemon_.platform.put(w);
       if (r.error.kind != error_kind::conflict) {
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -45,7 +45,7 @@
 
   // Runs `task` on a worker and then `done` with its result on `io`.
   template<typename Task, typename Done>
-  void work(Task task, Done done)
+  void run_on_worker(Task task, Done done)
   {
     asio::post(workers, [this, task = std::move(task), done = std::move(done)] {
       auto r = task();
--- a/cactusford/sidecar/call_handler.cc
+++ b/cactusford/sidecar/call_handler.cc
@@ -289,7 +289,7 @@
     static_cast<std::uint32_t>(admission::tier_of(
       static_cast<admission::call_class>(c.request.call_class())))
   };
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, id = c.id, g, cancelled = c.cancelled] {
       return backend_.generate(
         g, *cancelled, [this, id](const engine::token_chunk& chunk) {
@@ -314,10 +314,11 @@
   const auto now = process::steady_ms();
   const auto left =
     static_cast<std::uint32_t>(c.deadline > now ? c.deadline - now : 1);
-  daemon_.work([this, r, left] { return backend_.call(r, left); },
-               [this, id = c.id](const result<engine::service_answer>& a) {
-                 on_answer(id, a);
-               });
+  daemon_.run_on_worker(
+    [this, r, left] { return backend_.call(r, left); },
+    [this, id = c.id](const result<engine::service_answer>& a) {
+      on_answer(id, a);
+    });
 }
 
 // If the engine reports a weight version with each run of tokens, that version
--- a/cactusford/sidecar/weight_manager.cc
+++ b/cactusford/sidecar/weight_manager.cc
@@ -97,18 +97,18 @@
 void
 weight_manager::read_back(const std::string& model)
 {
-  daemon_.work([this, model] { return engine_.read_versions(model); },
-               [this, model](const result<engine::versions>& r) {
-                 auto& m = machines_[model];
-                 weights::on_read(m, r, process::steady_ms());
-                 if (r) {
-                   timeline::log(timeline::event{ "weights_read" }
-                                   .with("model", model)
-                                   .with("active", r.value.active)
-                                   .with("staged", r.value.staged));
-                 }
-                 advance(m);
-               });
+  daemon_.run_on_worker([this, model] { return engine_.read_versions(model); },
+                        [this, model](const result<engine::versions>& r) {
+                          auto& m = machines_[model];
+                          weights::on_read(m, r, process::steady_ms());
+                          if (r) {
+                            timeline::log(timeline::event{ "weights_read" }
+                                            .with("model", model)
+                                            .with("active", r.value.active)
+                                            .with("staged", r.value.staged));
+                          }
+                          advance(m);
+                        });
 }
 
 void
@@ -121,22 +121,22 @@
                   .with("model", model)
                   .with("weight_version", o.version)
                   .with("fence", o.fence));
-  daemon_.work([this, o] { return engine_.give(o); },
-               [this, o](const failure& f) {
-                 auto& updated = machines_[o.model];
-                 weights::on_order(
-                   updated, o.kind, o.version, f, process::steady_ms());
-                 timeline::log(timeline::event{ "weights_order_ended" }
-                                 .with("kind", name_of(o.kind))
-                                 .with("model", o.model)
-                                 .with("weight_version", o.version)
-                                 .with("error", cactusford::name_of(f.kind)));
-                 daemon_.metrics.add(
-                   "weight_orders_total",
-                   { { "kind", name_of(o.kind) },
-                     { "error", std::string{ cactusford::name_of(f.kind) } } });
-                 advance(updated);
-               });
+  daemon_.run_on_worker(
+    [this, o] { return engine_.give(o); },
+    [this, o](const failure& f) {
+      auto& updated = machines_[o.model];
+      weights::on_order(updated, o.kind, o.version, f, process::steady_ms());
+      timeline::log(timeline::event{ "weights_order_ended" }
+                      .with("kind", name_of(o.kind))
+                      .with("model", o.model)
+                      .with("weight_version", o.version)
+                      .with("error", cactusford::name_of(f.kind)));
+      daemon_.metrics.add(
+        "weight_orders_total",
+        { { "kind", name_of(o.kind) },
+          { "error", std::string{ cactusford::name_of(f.kind) } } });
+      advance(updated);
+    });
 }
 
 std::uint64_t
