--- a/cactusford/entry/call_dispatcher.cc
+++ b/cactusford/entry/call_dispatcher.cc
@@ -106,12 +106,12 @@
   c->spec = std::move(spec);
   calls_[c->handle] = c;
   admission::credit_first_attempt(budget_);
-  daemon_.after(c->spec.deadline_ms + deadline_grace_ms,
-                [this, weak = std::weak_ptr{ c }] {
-                  if (const auto live = weak.lock(); live && !live->done) {
-                    on_deadline(live);
-                  }
-                });
+  daemon_.run_after(c->spec.deadline_ms + deadline_grace_ms,
+                    [this, weak = std::weak_ptr{ c }] {
+                      if (const auto live = weak.lock(); live && !live->done) {
+                        on_deadline(live);
+                      }
+                    });
   asio::post(daemon_.io, [this, c] {
     if (!c->done) {
       start_attempt(c);
@@ -427,7 +427,7 @@
                   .with("wait_ms", wait_ms));
   daemon_.metrics.add("retries_total",
                       { { "kind", std::string{ name_of(error.kind) } } });
-  daemon_.after(wait_ms, [this, c] {
+  daemon_.run_after(wait_ms, [this, c] {
     if (!c->done) {
       start_attempt(c);
     }
--- a/cactusford/entry/entry.cc
+++ b/cactusford/entry/entry.cc
@@ -95,7 +95,7 @@
       stop();
       return;
     }
-    daemon_.after(tick_ms, [this] { tick(); });
+    daemon_.run_after(tick_ms, [this] { tick(); });
   }
 
   // Waiting fetches need this thread in order to end, so it keeps running while
--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -479,7 +479,7 @@
                         { { "trainer", s->trainer } },
                         static_cast<double>(r.tokens));
     if (is_last) {
-      daemon_.after(retry_delay_ms, [this, s, sample] {
+      daemon_.run_after(retry_delay_ms, [this, s, sample] {
         const auto found_again = s->steps.find(sample->step);
         if (!s->ended && found_again != s->steps.end() &&
             found_again->second.slots[sample->index].phase ==
@@ -537,7 +537,7 @@
     timeline::log(timeline::event{ "score_failed" }
                     .with("sample", sample->body.sample_id())
                     .with("error", name_of(result.error.kind)));
-    daemon_.after(retry_delay_ms, [this, s, sample] {
+    daemon_.run_after(retry_delay_ms, [this, s, sample] {
       if (!s->ended) {
         score(s, sample);
       }
--- a/cactusford/process/daemon.cc
+++ b/cactusford/process/daemon.cc
@@ -157,7 +157,7 @@
 }
 
 void
-daemon::after(std::uint64_t delay_ms, std::function<void()> run)
+daemon::run_after(std::uint64_t delay_ms, std::function<void()> run)
 {
   auto t = std::make_shared<asio::steady_timer>(
     io, std::chrono::milliseconds{ delay_ms });
--- a/cactusford/sidecar/sidecar.cc
+++ b/cactusford/sidecar/sidecar.cc
@@ -47,10 +47,10 @@
     if ((idle && leaving_for_ms >= refuse_period_ms) ||
         leaving_for_ms > daemon_.settings.drain_limit_ms + refuse_period_ms) {
       daemon_.links.stop_listening();
-      daemon_.after(tick_ms * 5, [this] { daemon_.stop(); });
+      daemon_.run_after(tick_ms * 5, [this] { daemon_.stop(); });
       return;
     }
-    daemon_.after(tick_ms, [this] { tick(); });
+    daemon_.run_after(tick_ms, [this] { tick(); });
   }
 
   void leave()
