--- a/cactusford/configuration/declaration.cc
+++ b/cactusford/configuration/declaration.cc
@@ -116,7 +116,7 @@
   if (document.is_discarded()) {
     return { error_kind::bad_request, "spec is not JSON" };
   }
-  if (auto wrong = settings::check(schema->second, document)) {
+  if (auto wrong = settings::validate(schema->second, document)) {
     return { error_kind::bad_request, kind + "/" + name + " " + wrong.detail };
   }
   return {};
--- a/cactusford/edge/settings.cc
+++ b/cactusford/edge/settings.cc
@@ -68,7 +68,7 @@
   if (document.is_discarded()) {
     return { {}, { error_kind::settings_invalid, "the file is not JSON" } };
   }
-  if (auto error = settings::check(json::parse(schema_text), document)) {
+  if (auto error = settings::validate(json::parse(schema_text), document)) {
     return { {}, error };
   }
   hosted_settings s;
--- a/cactusford/settings/settings.cc
+++ b/cactusford/settings/settings.cc
@@ -94,7 +94,7 @@
   if (document.is_discarded()) {
     return { {}, { error_kind::settings_invalid, "the file is not JSON" } };
   }
-  if (auto wrong = check(schema, document)) {
+  if (auto wrong = validate(schema, document)) {
     return { {}, wrong };
   }
   return { std::move(document), {} };
@@ -161,7 +161,7 @@
 }
 
 failure
-check(const json& schema, const json& document)
+validate(const json& schema, const json& document)
 {
   valijson::Schema compiled;
   valijson::SchemaParser parser;
--- a/cactusford/settings/settings.h
+++ b/cactusford/settings/settings.h
@@ -97,6 +97,6 @@
 // Checks `document` against a JSON schema. The error names the first key that
 // does not fit.
 failure
-check(const nlohmann::json& schema, const nlohmann::json& document);
+validate(const nlohmann::json& schema, const nlohmann::json& document);
 
 } // namespace cactusford::settings
