--- a/cactusford/engine/client.cc
+++ b/cactusford/engine/client.cc
@@ -90,7 +90,7 @@
 
 client::~client() = default;
 
-generation_end
+generation_result
 client::generate(const generation& g,
                  const std::atomic<bool>& cancelled,
                  const std::function<void(const token_chunk&)>& take)
@@ -104,7 +104,7 @@
                    { "resume_text", g.resume_text },
                    { "priority", g.priority },
                    { "stream", true } };
-  generation_end end;
+  generation_result end;
   event_reader reader;
   int status = 0;
   bool malformed = false;
--- a/cactusford/engine/client.h
+++ b/cactusford/engine/client.h
@@ -38,7 +38,7 @@
   friend bool operator==(const token_chunk&, const token_chunk&) = default;
 };
 
-struct generation_end
+struct generation_result
 {
   std::string finish_reason;
   failure error;
@@ -101,9 +101,10 @@
 
   // Streams tokens until the end, an error, or `cancelled`. An answer without
   // its end mark is an error (stream_cut).
-  generation_end generate(const generation& g,
-                          const std::atomic<bool>& cancelled,
-                          const std::function<void(const token_chunk&)>& take);
+  generation_result generate(
+    const generation& g,
+    const std::atomic<bool>& cancelled,
+    const std::function<void(const token_chunk&)>& take);
 
   // Errors: no_backend (it never left), outcome_unknown.
   result<service_answer> call(const service_request& r,
--- a/cactusford/sidecar/call_handler.cc
+++ b/cactusford/sidecar/call_handler.cc
@@ -296,7 +296,7 @@
           asio::post(daemon_.io, [this, id, chunk] { on_chunk(id, chunk); });
         });
     },
-    [this, id = c.id](const engine::generation_end& end) {
+    [this, id = c.id](const engine::generation_result& end) {
       on_generation_end(id, end);
     });
 }
@@ -371,7 +371,7 @@
 
 void
 call_handler::on_generation_end(std::uint64_t id,
-                                const engine::generation_end& end)
+                                const engine::generation_result& end)
 {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
--- a/cactusford/sidecar/call_handler.h
+++ b/cactusford/sidecar/call_handler.h
@@ -81,7 +81,8 @@
   void run_completion(call& c);
   void run_service(call& c);
   void on_chunk(std::uint64_t id, const engine::token_chunk& chunk);
-  void on_generation_end(std::uint64_t id, const engine::generation_end& end);
+  void on_generation_end(std::uint64_t id,
+                         const engine::generation_result& end);
   void on_answer(std::uint64_t id, const result<engine::service_answer>& r);
   void on_closed(link::stream* s, std::uint64_t id);
   void stop_call(call& c, const failure& error);
