--- a/cactusford/engine/client.cc
+++ b/cactusford/engine/client.cc
@@ -91,7 +91,7 @@
 client::~client() = default;
 
 generation_result
-client::generate(const generation& g,
+client::generate(const generation_request& g,
                  const std::atomic<bool>& cancelled,
                  const std::function<void(const token_chunk&)>& take)
 {
--- a/cactusford/engine/client.h
+++ b/cactusford/engine/client.h
@@ -12,7 +12,7 @@
 
 namespace cactusford::engine {
 
-struct generation
+struct generation_request
 {
   std::string request_id;
   std::uint32_t attempt = 0;
@@ -25,7 +25,8 @@
   // Lower runs first.
   std::uint32_t priority = 0;
 
-  friend bool operator==(const generation&, const generation&) = default;
+  friend bool operator==(const generation_request&,
+                         const generation_request&) = default;
 };
 
 struct token_chunk
@@ -102,7 +103,7 @@
   // Streams tokens until the end, an error, or `cancelled`. An answer without
   // its end mark is an error (stream_cut).
   generation_result generate(
-    const generation& g,
+    const generation_request& g,
     const std::atomic<bool>& cancelled,
     const std::function<void(const token_chunk&)>& take);
 
--- a/cactusford/sidecar/call_handler.cc
+++ b/cactusford/sidecar/call_handler.cc
@@ -278,7 +278,7 @@
   const auto& work = c.request.completion();
   c.swap_epoch = weights_.swap_epoch(work.model());
   c.version = weights_.serving(work.model());
-  const engine::generation g{
+  const engine::generation_request g{
     c.request.request_id(),
     c.request.attempt(),
     work.model(),
