--- a/cactusford/engine/client.cc
+++ b/cactusford/engine/client.cc
@@ -179,7 +179,7 @@
 }
 
 failure
-client::give(const order& o)
+client::submit_order(const order& o)
 {
   const json body{ { "model", o.model },
                    { "version", o.version },
--- a/cactusford/engine/client.h
+++ b/cactusford/engine/client.h
@@ -112,7 +112,7 @@
                               std::uint32_t deadline_ms);
 
   // Errors: fenced, backend_failed (refused), outcome_unknown.
-  failure give(const order& o);
+  failure submit_order(const order& o);
 
   result<versions> read_versions(const std::string& model);
 
--- a/cactusford/sidecar/weight_manager.cc
+++ b/cactusford/sidecar/weight_manager.cc
@@ -122,7 +122,7 @@
                   .with("weight_version", o.version)
                   .with("fence", o.fence));
   daemon_.run_on_worker(
-    [this, o] { return engine_.give(o); },
+    [this, o] { return engine_.submit_order(o); },
     [this, o](const failure& f) {
       auto& updated = machines_[o.model];
       weights::on_order(updated, o.kind, o.version, f, process::steady_ms());
