--- a/cactusford/batches/engine_usage_reports.cc
+++ b/cactusford/batches/engine_usage_reports.cc
@@ -73,7 +73,8 @@
   o.connect_timeout_ms = report_timeout_ms / 2;
   for (const auto& address : recipients) {
     // A lost report is replaced by the next one.
-    deps.http.fetch(address, r, o, [](http::end_state, http::response&&) {});
+    deps.http.fetch(
+      address, r, o, [](http::exchange_outcome, http::response&&) {});
   }
 }
 
--- a/cactusford/batches/manager_impl.h
+++ b/cactusford/batches/manager_impl.h
@@ -149,7 +149,7 @@
   void dispatch();
   bool start_run(batch_state& b, item_state& i, std::uint32_t urgency);
   bool is_quarantined(const batch_state& b, const item_state& i);
-  void report_to_quarantine(const item_state& i, http::end_state end);
+  void report_to_quarantine(const item_state& i, http::exchange_outcome end);
   void on_run_head(const std::string& id,
                    std::size_t at,
                    std::uint64_t run,
@@ -161,7 +161,7 @@
   void on_run_end(const std::string& id,
                   std::size_t at,
                   std::uint64_t run,
-                  http::end_state end);
+                  http::exchange_outcome end);
   item_state* current_run(const std::string& id,
                           std::size_t at,
                           std::uint64_t run);
--- a/cactusford/batches/ownership.cc
+++ b/cactusford/batches/ownership.cc
@@ -345,15 +345,15 @@
       address,
       r,
       o,
-      [self = shared_from_this(), address, now](http::end_state end,
+      [self = shared_from_this(), address, now](http::exchange_outcome end,
                                                 http::response&& a) {
         self->owner_probe_pending[address] = false;
         const auto answered_ms = http::now_ms();
-        if (end == http::end_state::complete && a.status == 200) {
+        if (end == http::exchange_outcome::complete && a.status == 200) {
           self->owner_seen_at_ms[address] = answered_ms;
-        } else if (end == http::end_state::complete) {
+        } else if (end == http::exchange_outcome::complete) {
           self->owner_cut_off_at_ms[address] = answered_ms;
-        } else if (end == http::end_state::not_sent &&
+        } else if (end == http::exchange_outcome::not_sent &&
                    answered_ms - now < connection_refused_limit_ms) {
           self->owner_refused_at_ms[address] = answered_ms;
         }
@@ -380,8 +380,8 @@
   http::exchange_options o;
   o.timeout_ms = owner_probe_timeout_ms;
   deps.http.fetch(
-    address, r, o, [id, address](http::end_state end, http::response&&) {
-      if (end != http::end_state::complete) {
+    address, r, o, [id, address](http::exchange_outcome end, http::response&&) {
+      if (end != http::exchange_outcome::complete) {
         process::log_line(timeline::event{ "owner_not_notified" }
                             .with("batch", id)
                             .with("address", address)
--- a/cactusford/batches/results.cc
+++ b/cactusford/batches/results.cc
@@ -195,18 +195,18 @@
   o.timeout_ms = r.wait_ms + peer_read_ms;
   o.connect_timeout_ms = peer_read_ms / 2;
   auto sent = std::make_shared<http::pending_request>();
-  *sent =
-    deps.http.fetch(b.stored.owner_address,
-                    request,
-                    o,
-                    [self = shared_from_this(), caller, r](http::end_state end,
-                                                           http::response&& a) {
-                      if (end == http::end_state::complete && a.status == 200) {
-                        caller.respond(answer(200, std::move(a.body)));
-                        return;
-                      }
-                      self->read_from_store(caller, r);
-                    });
+  *sent = deps.http.fetch(
+    b.stored.owner_address,
+    request,
+    o,
+    [self = shared_from_this(), caller, r](http::exchange_outcome end,
+                                           http::response&& a) {
+      if (end == http::exchange_outcome::complete && a.status == 200) {
+        caller.respond(answer(200, std::move(a.body)));
+        return;
+      }
+      self->read_from_store(caller, r);
+    });
   caller.on_disconnect([sent] { sent->cancel(); });
 }
 
--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -219,7 +219,9 @@
   events.on_body = [self, id = b.stored.id, at = i.index, run = i.run](
                      std::string_view d) { self->on_body(id, at, run, d); };
   events.on_end = [self, id = b.stored.id, at = i.index, run = i.run](
-                    http::end_state e) { self->on_run_end(id, at, run, e); };
+                    http::exchange_outcome e) {
+    self->on_run_end(id, at, run, e);
+  };
   i.pending = deps.http.send(backend->info.address, r, o, std::move(events));
   return true;
 }
@@ -253,7 +255,8 @@
 // Reports the end of a run to the quarantine. The first response of an engine
 // that has run the item, successful or not, clears the item.
 void
-manager::impl::report_to_quarantine(const item_state& i, http::end_state end)
+manager::impl::report_to_quarantine(const item_state& i,
+                                    http::exchange_outcome end)
 {
   if (deps.quarantine_manager == nullptr) {
     return;
@@ -261,9 +264,9 @@
   const auto now = http::now_ms();
   const bool is_healthy =
     i.events_in_run > 0 && now - i.first_event_ms > healthy_run_ms;
-  if (end == http::end_state::cut && !is_healthy) {
+  if (end == http::exchange_outcome::cut && !is_healthy) {
     deps.quarantine_manager->on_connection_lost(i.backend, i.address, i.work);
-  } else if (end == http::end_state::complete && !i.not_run) {
+  } else if (end == http::exchange_outcome::complete && !i.not_run) {
     deps.quarantine_manager->on_answered(i.work);
   }
 }
@@ -387,7 +390,7 @@
 manager::impl::on_run_end(const std::string& id,
                           std::size_t at,
                           std::uint64_t run,
-                          http::end_state end)
+                          http::exchange_outcome end)
 {
   auto* i = current_run(id, at, run);
   if (i == nullptr) {
@@ -400,7 +403,7 @@
   }
   i->pending = {};
   report_to_quarantine(*i, end);
-  const bool complete = end == http::end_state::complete;
+  const bool complete = end == http::exchange_outcome::complete;
   constexpr int ok = 200;
   constexpr int unprocessable = 422;
   constexpr int server_error = 500;
--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -147,7 +147,7 @@
     to.address,
     r,
     o,
-    [self = shared_from_this(), pending, to](http::end_state end,
+    [self = shared_from_this(), pending, to](http::exchange_outcome end,
                                              http::response&& answered) {
       process::log_line(
         timeline::event{ "batch_forwarded" }
@@ -155,14 +155,15 @@
           .with("to", to.instance)
           .with("end", http::name_of(end))
           .with("status", static_cast<std::uint64_t>(answered.status)));
-      const bool complete = end == http::end_state::complete;
+      const bool complete = end == http::exchange_outcome::complete;
       if (complete && answered.status != status_misdirected) {
         pending->caller.respond(answered.status == status_unavailable
                                   ? retry_later(self->deps.dialect)
                                   : answer(answered.status));
         return;
       }
-      pending->write_unknown = !complete && end != http::end_state::not_sent;
+      pending->write_unknown =
+        !complete && end != http::exchange_outcome::not_sent;
       self->accept_locally(pending);
     });
 }
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -15,24 +15,24 @@
 
 using namespace cactusford;
 using namespace cactusford::edge;
-using http::end_state;
+using http::exchange_outcome;
 
 namespace {
 
 attempt_end
 answered(int status)
 {
-  return { end_state::complete, status, false, true };
+  return { exchange_outcome::complete, status, false, true };
 }
 
 attempt_end
 refused()
 {
-  return { end_state::complete, 503, true, false };
+  return { exchange_outcome::complete, 503, true, false };
 }
 
 attempt_end
-ended(end_state e)
+ended(exchange_outcome e)
 {
   return { e, 0, false, false };
 }
@@ -58,7 +58,9 @@
   }
   SECTION("but a success without a signature is not from a backend server")
   {
-    const attempt_end unsigned_ok{ end_state::complete, 200, false, false };
+    const attempt_end unsigned_ok{
+      exchange_outcome::complete, 200, false, false
+    };
     cr_assert(after_attempt(unsigned_ok, progress(true, 1, 3)) ==
               next_step::try_another);
     cr_assert(after_attempt(unsigned_ok, progress(false, 1, 3)) ==
@@ -72,8 +74,9 @@
 // that the call was not run.
 Test(forward, never_repeats_what_may_have_run_and_must_not_run_twice)
 {
-  for (const auto e :
-       { end_state::cut, end_state::timed_out, end_state::malformed }) {
+  for (const auto e : { exchange_outcome::cut,
+                        exchange_outcome::timed_out,
+                        exchange_outcome::malformed }) {
     cr_assert(after_attempt(ended(e), progress(false, 1, 3)) ==
               next_step::give_up_unknown);
     cr_assert(after_attempt(ended(e), progress(true, 1, 3)) ==
@@ -83,7 +86,7 @@
   {
     cr_assert(after_attempt(refused(), progress(false, 0, 1)) ==
               next_step::try_another);
-    cr_assert(after_attempt(ended(end_state::not_sent),
+    cr_assert(after_attempt(ended(exchange_outcome::not_sent),
                             progress(false, 0, 1)) == next_step::try_another);
   }
 }
@@ -95,9 +98,9 @@
 {
   auto suspect = progress(true, 1, 3);
   suspect.repeatable_after_disconnect = false;
-  cr_assert(after_attempt(ended(end_state::cut), suspect) ==
+  cr_assert(after_attempt(ended(exchange_outcome::cut), suspect) ==
             next_step::give_up_unknown);
-  cr_assert(after_attempt(ended(end_state::not_sent), suspect) ==
+  cr_assert(after_attempt(ended(exchange_outcome::not_sent), suspect) ==
             next_step::try_another);
   cr_assert(after_attempt(refused(), suspect) == next_step::try_another);
   cr_assert(after_attempt(answered(500), suspect) == next_step::try_another);
@@ -113,7 +116,7 @@
 
 Test(forward, respects_the_maximum_runs_of_the_route)
 {
-  cr_assert(after_attempt(ended(end_state::cut), progress(true, 3, 3)) ==
+  cr_assert(after_attempt(ended(exchange_outcome::cut), progress(true, 3, 3)) ==
             next_step::give_up_unknown);
 }
 
@@ -123,7 +126,7 @@
 Test(forward, counts_only_answers_that_report_a_failed_run)
 {
   attempt_end end;
-  end.state = cactusford::http::end_state::complete;
+  end.state = cactusford::http::exchange_outcome::complete;
   end.is_signed = true;
   end.status = 500;
   cr_assert(is_failed_run(end));
@@ -138,7 +141,7 @@
     end.not_run = true;
     cr_assert_not(is_failed_run(end));
     end.not_run = false;
-    end.state = cactusford::http::end_state::cut;
+    end.state = cactusford::http::exchange_outcome::cut;
     cr_assert_not(is_failed_run(end));
   }
 }
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -62,7 +62,7 @@
 is_failed_run(const attempt_end& end)
 {
   constexpr int failed = 500;
-  return end.state == http::end_state::complete && !end.not_run &&
+  return end.state == http::exchange_outcome::complete && !end.not_run &&
          end.status == failed;
 }
 
@@ -70,15 +70,16 @@
 after_attempt(const attempt_end& end, const call_progress& p)
 {
   const bool may_contact_another = p.contacted_count < max_contacted;
-  const bool complete = end.state == http::end_state::complete;
-  if (end.state == http::end_state::not_sent || (complete && end.not_run)) {
+  const bool complete = end.state == http::exchange_outcome::complete;
+  if (end.state == http::exchange_outcome::not_sent ||
+      (complete && end.not_run)) {
     if (may_contact_another) {
       return next_step::try_another;
     }
     return p.runs == 0 ? next_step::give_up_not_run
                        : next_step::give_up_unknown;
   }
-  const bool is_cut = end.state == http::end_state::cut;
+  const bool is_cut = end.state == http::exchange_outcome::cut;
   const bool repeatable =
     p.repeatable && (!is_cut || p.repeatable_after_disconnect);
   const bool may_repeat =
@@ -264,9 +265,9 @@
   if (quarantine_ == nullptr) {
     return;
   }
-  if (end.state == http::end_state::cut) {
+  if (end.state == http::exchange_outcome::cut) {
     quarantine_->on_connection_lost(a.backend, a.address, call.fingerprint);
-  } else if (end.state == http::end_state::complete && end.is_signed &&
+  } else if (end.state == http::exchange_outcome::complete && end.is_signed &&
              !end.not_run) {
     quarantine_->on_answered(call.fingerprint);
   }
@@ -457,7 +458,7 @@
     b.info.address,
     prepare(*call, b),
     o,
-    [this, call, index](http::end_state end, http::response&& r) {
+    [this, call, index](http::exchange_outcome end, http::response&& r) {
       on_attempt_ended(call, index, end, std::move(r));
     },
     max_answer_bytes);
@@ -489,7 +490,7 @@
 void
 forwarder::on_attempt_ended(const std::shared_ptr<call_state>& call,
                             std::size_t index,
-                            http::end_state end,
+                            http::exchange_outcome end,
                             http::response&& r)
 {
   auto& a = call->attempts[index];
@@ -499,7 +500,7 @@
   auto* b = close_attempt(*call, a);
   const auto now = http::now_ms();
   const auto& names = dialect_.headers;
-  const bool complete = end == http::end_state::complete;
+  const bool complete = end == http::exchange_outcome::complete;
   constexpr int misdirected = 421;
   const bool not_run = complete && (http::find(r.fields, names.not_run) ||
                                     r.status == misdirected);
@@ -525,11 +526,11 @@
   ended.status = r.status;
   ended.not_run = not_run;
   ended.is_signed = http::find(r.fields, names.signature).has_value();
-  if (end == http::end_state::cut) {
+  if (end == http::exchange_outcome::cut) {
     log_lost_connection(*call, a, now);
   }
   report_to_quarantine(*call, a, ended);
-  const bool was_run = !not_run && end != http::end_state::not_sent;
+  const bool was_run = !not_run && end != http::exchange_outcome::not_sent;
   a.not_run = !was_run;
   if (was_run) {
     report_run_started(*call);
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -76,7 +76,7 @@
 
 struct attempt_end
 {
-  http::end_state state = http::end_state::cut;
+  http::exchange_outcome state = http::exchange_outcome::cut;
   int status = 0;
   // The answer states that the request was not run.
   bool not_run = false;
@@ -148,7 +148,7 @@
   void schedule_second_attempt(const std::shared_ptr<call_state>& call);
   void on_attempt_ended(const std::shared_ptr<call_state>& call,
                         std::size_t index,
-                        http::end_state end,
+                        http::exchange_outcome end,
                         http::response&& r);
   void cancel_open_attempts(const std::shared_ptr<call_state>& call);
   void schedule_cancellation(const std::shared_ptr<call_state>& call);
--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -47,18 +47,18 @@
 } // namespace
 
 std::string_view
-name_of(end_state e) noexcept
+name_of(exchange_outcome e) noexcept
 {
   switch (e) {
-    case end_state::complete:
+    case exchange_outcome::complete:
       return "complete";
-    case end_state::not_sent:
+    case exchange_outcome::not_sent:
       return "not_sent";
-    case end_state::cut:
+    case exchange_outcome::cut:
       return "cut";
-    case end_state::timed_out:
+    case exchange_outcome::timed_out:
       return "timed_out";
-    case end_state::malformed:
+    case exchange_outcome::malformed:
       return "malformed";
   }
   return "unknown";
@@ -88,7 +88,7 @@
   void on_read_error(const asio::error_code& ec);
   bool on_head(head&& h);
   bool on_end();
-  void finish(end_state state);
+  void finish(exchange_outcome state);
   void close();
 
   std::shared_ptr<client::impl> pool;
@@ -216,7 +216,7 @@
   const auto peer = endpoint_from(address);
   if (!peer || pool->count > pool->limits.connections) {
     asio::post(pool->io, [self = shared_from_this()] {
-      self->finish(end_state::not_sent);
+      self->finish(exchange_outcome::not_sent);
     });
     return;
   }
@@ -224,7 +224,7 @@
     pool->io, std::chrono::milliseconds{ e->options.connect_timeout_ms });
   guard->async_wait([self = shared_from_this(), e](asio::error_code ec) {
     if (!ec && !e->sent && self->current == e) {
-      self->finish(end_state::not_sent);
+      self->finish(exchange_outcome::not_sent);
     }
   });
   socket.async_connect(
@@ -234,7 +234,7 @@
         return;
       }
       if (ec) {
-        self->finish(end_state::not_sent);
+        self->finish(exchange_outcome::not_sent);
         return;
       }
       configure_socket(self->socket);
@@ -312,9 +312,9 @@
     parser.resume();
     // Bytes behind a whole answer belong to no request of ours.
     open_for_reuse = open_for_reuse && used == bytes.size();
-    finish(end_state::complete);
+    finish(exchange_outcome::complete);
   } else if (parser.state() == parse_state::malformed || used < bytes.size()) {
-    finish(end_state::malformed);
+    finish(exchange_outcome::malformed);
   }
 }
 
@@ -331,12 +331,12 @@
     const auto self = shared_from_this();
     parser.feed_end();
     if (completed && !closed) {
-      finish(end_state::complete);
+      finish(exchange_outcome::complete);
       return;
     }
   }
   if (!closed) {
-    finish(end_state::cut);
+    finish(exchange_outcome::cut);
   }
 }
 
@@ -382,15 +382,15 @@
 }
 
 void
-connection::finish(end_state state)
+connection::finish(exchange_outcome state)
 {
   const auto self = shared_from_this();
   const auto e = std::move(current);
   current = nullptr;
-  must_not_arrive = must_not_arrive && state != end_state::complete;
+  must_not_arrive = must_not_arrive && state != exchange_outcome::complete;
   // An answer that came before the request was out: the peer may still read
   // it, so the connection is of no further use.
-  if (state == end_state::complete && open_for_reuse && !writing &&
+  if (state == exchange_outcome::complete && open_for_reuse && !writing &&
       idle_ms > 0) {
     idle_until = now_ms() + idle_ms;
     pool->keep(self);
@@ -486,7 +486,8 @@
       return;
     }
     if (const auto c = e->on.lock()) {
-      c->finish(e->sent ? end_state::timed_out : end_state::not_sent);
+      c->finish(e->sent ? exchange_outcome::timed_out
+                        : exchange_outcome::not_sent);
     }
   });
   if (auto kept = impl_->take_idle(address)) {
@@ -517,10 +518,11 @@
       whole->body += data;
     }
   };
-  events.on_end = [whole, max_bytes, done = std::move(done)](end_state state) {
-    const bool oversized = whole->body.size() > max_bytes;
-    done(oversized ? end_state::malformed : state, std::move(*whole));
-  };
+  events.on_end =
+    [whole, max_bytes, done = std::move(done)](exchange_outcome state) {
+      const bool oversized = whole->body.size() > max_bytes;
+      done(oversized ? exchange_outcome::malformed : state, std::move(*whole));
+    };
   return send(address, r, std::move(options), std::move(events));
 }
 
--- a/cactusford/http/client.h
+++ b/cactusford/http/client.h
@@ -15,7 +15,7 @@
 
 namespace cactusford::http {
 
-enum class end_state
+enum class exchange_outcome
 {
   // The whole answer has arrived.
   complete,
@@ -29,7 +29,7 @@
 };
 
 std::string_view
-name_of(end_state e) noexcept;
+name_of(exchange_outcome e) noexcept;
 
 struct exchange_events
 {
@@ -37,7 +37,7 @@
   std::function<void(const head&)> on_head;
   std::function<void(std::string_view)> on_body;
   // Once, and not after `cancel`.
-  std::function<void(end_state)> on_end;
+  std::function<void(exchange_outcome)> on_end;
 };
 
 struct exchange_options
@@ -106,7 +106,7 @@
                exchange_events events);
 
   // Sends and collects the whole answer, at most `max_bytes` of body.
-  using whole_handler = std::function<void(end_state, response&&)>;
+  using whole_handler = std::function<void(exchange_outcome, response&&)>;
   pending fetch(const std::string& address,
                 const request& r,
                 exchange_options options,
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -89,7 +89,7 @@
 struct outcome
 {
   bool done = false;
-  end_state end = end_state::cut;
+  exchange_outcome end = exchange_outcome::cut;
   response answer;
 };
 
@@ -107,7 +107,7 @@
     options.timeout_ms = timeout_ms;
     options.echo = { "Id", id };
     client.fetch(
-      peer.address(), get(id), options, [o](end_state e, response&& r) {
+      peer.address(), get(id), options, [o](exchange_outcome e, response&& r) {
         *o = { true, e, std::move(r) };
       });
     return o;
@@ -130,7 +130,7 @@
   for (const auto* id : { "1", "2" }) {
     const auto o = f.ask(id);
     f.run_until(o);
-    cr_assert(o->end == end_state::complete);
+    cr_assert(o->end == exchange_outcome::complete);
   }
   cr_assert_eq(f.peer.connections, 1);
 }
@@ -154,7 +154,7 @@
     f.run_until(f.ask("3"));
     const auto o = f.ask("4");
     f.run_until(o);
-    cr_assert(o->end == end_state::complete);
+    cr_assert(o->end == exchange_outcome::complete);
     cr_assert(o->answer.body == "d");
   }
 }
@@ -167,21 +167,21 @@
     f.peer.script = { "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "" };
     const auto o = f.ask("1", 300);
     f.run_until(o);
-    cr_assert(o->end != end_state::complete);
+    cr_assert(o->end != exchange_outcome::complete);
   }
   SECTION("bytes that are no answer")
   {
     f.peer.script = { "\x01\x02 what\r\n\r\n" };
     const auto o = f.ask("2");
     f.run_until(o);
-    cr_assert(o->end == end_state::malformed);
+    cr_assert(o->end == exchange_outcome::malformed);
   }
   SECTION("silence")
   {
     f.peer.script = {};
     const auto o = f.ask("3", 50);
     f.run_until(o);
-    cr_assert(o->end == end_state::timed_out);
+    cr_assert(o->end == exchange_outcome::timed_out);
   }
 }
 
@@ -197,7 +197,7 @@
   exchange_options o;
   o.reset_on_abandon = true;
   auto sent =
-    c.fetch(peer.address(), get("1"), o, [](end_state, response&&) {});
+    c.fetch(peer.address(), get("1"), o, [](exchange_outcome, response&&) {});
   while (peer.silent.empty()) {
     io.run_one();
   }
@@ -232,7 +232,7 @@
     }
     for (const auto& o : all) {
       f.run_until(o);
-      cr_assert(o->end == end_state::complete);
+      cr_assert(o->end == exchange_outcome::complete);
     }
     // Longer than the peer keeps them, less the client's margin.
     asio::steady_timer wait{ f.io, std::chrono::milliseconds{ 400 } };
@@ -250,14 +250,15 @@
   http::client client{ io };
   outcome o;
   // Nobody listens on the discard port of loopback.
-  client.fetch("127.0.0.1:9", get("1"), {}, [&](end_state e, response&&) {
-    o.done = true;
-    o.end = e;
-  });
+  client.fetch(
+    "127.0.0.1:9", get("1"), {}, [&](exchange_outcome e, response&&) {
+      o.done = true;
+      o.end = e;
+    });
   while (!o.done) {
     io.run_one();
   }
-  cr_assert(o.end == end_state::not_sent);
+  cr_assert(o.end == exchange_outcome::not_sent);
 }
 
 namespace {
--- a/cactusford/orders/loader.cc
+++ b/cactusford/orders/loader.cc
@@ -92,9 +92,9 @@
   http_.fetch(settings_.engine,
               dialect_.report_request(),
               o,
-              [this](http::end_state end, http::response&& r) {
+              [this](http::exchange_outcome end, http::response&& r) {
                 is_request_open_ = false;
-                const auto report = end == http::end_state::complete
+                const auto report = end == http::exchange_outcome::complete
                                       ? dialect_.report_from(r)
                                       : store::decoded<edge::engine_report>{};
                 log_reachability(report.has_value(), end, report.fault);
@@ -108,7 +108,7 @@
 
 void
 loader::log_reachability(bool is_reachable,
-                         http::end_state end,
+                         http::exchange_outcome end,
                          const store::decode_error& error)
 {
   if (is_reachable == was_reachable_) {
@@ -237,7 +237,7 @@
   http_.fetch(settings_.engine,
               dialect_.order_request(o),
               options,
-              [this, o](http::end_state end, http::response&& answer) {
+              [this, o](http::exchange_outcome end, http::response&& answer) {
                 is_request_open_ = false;
                 process::log_line(
                   timeline::event{ "load_ordered" }
--- a/cactusford/orders/loader.h
+++ b/cactusford/orders/loader.h
@@ -46,7 +46,7 @@
 private:
   void poll_engine();
   void log_reachability(bool is_reachable,
-                        http::end_state end,
+                        http::exchange_outcome end,
                         const store::decode_error& error);
   bool accept_incarnation(const edge::engine_report& r);
   void on_report(const edge::engine_report& r);
--- a/cactusford/store/relay_wire-test.cc
+++ b/cactusford/store/relay_wire-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr auto complete = http::end_state::complete;
+constexpr auto complete = http::exchange_outcome::complete;
 
 http::response
 answer_of_relay(std::uint64_t asked_ms, std::uint64_t confirmed_ms)
@@ -77,11 +77,11 @@
 
 Test(relay_wire, reports_an_unreachable_store)
 {
-  using http::end_state;
+  using http::exchange_outcome;
   cr_assert(reports_store_unreachable(store_unreachable_response()));
-  const auto not_sent = relayed_response(end_state::not_sent, {}, {});
+  const auto not_sent = relayed_response(exchange_outcome::not_sent, {}, {});
   cr_assert_eq(not_sent.status, 503, "the call was not executed");
-  const auto cut = relayed_response(end_state::cut, {}, {});
+  const auto cut = relayed_response(exchange_outcome::cut, {}, {});
   cr_assert_eq(cut.status, 504, "the call may have been executed");
   cr_assert(reports_store_unreachable(cut));
   cr_assert_not(
--- a/cactusford/store/relay_wire.cc
+++ b/cactusford/store/relay_wire.cc
@@ -78,14 +78,15 @@
 }
 
 http::response
-relayed_response(http::end_state end,
+relayed_response(http::exchange_outcome end,
                  const http::response& r,
                  const relay_metadata& metadata)
 {
-  if (end != http::end_state::complete) {
+  if (end != http::exchange_outcome::complete) {
     // 503: the call was not executed. 504: it may have been executed.
     auto a = store_unreachable_response();
-    a.status = end == http::end_state::not_sent ? unavailable : no_answer;
+    a.status =
+      end == http::exchange_outcome::not_sent ? unavailable : no_answer;
     return a;
   }
   http::headers fields{ confirmed_after_header(metadata) };
--- a/cactusford/store/relay_wire.h
+++ b/cactusford/store/relay_wire.h
@@ -60,7 +60,7 @@
 
 // Builds the relay's response to a call that ended with `end`.
 http::response
-relayed_response(http::end_state end,
+relayed_response(http::exchange_outcome end,
                  const http::response& r,
                  const relay_metadata& metadata);
 
--- a/cactusford/store/relaying.cc
+++ b/cactusford/store/relaying.cc
@@ -16,7 +16,7 @@
   for (auto* shared : { &direct_watches_, &upstream_watches_ }) {
     for (const auto& done : shared->take_relayed_handlers()) {
       // The call was not executed, and the store is not affected.
-      done(http::end_state::complete, { 503, {}, "" }, 0);
+      done(http::exchange_outcome::complete, { 503, {}, "" }, 0);
     }
   }
 }
@@ -58,13 +58,13 @@
   const auto asked_ms = http::boot_ms();
   const relay_metadata metadata{ asked_ms, asked_ms, {} };
   auto sent = std::make_shared<http::pending_request>();
-  *sent =
-    http_.fetch(settings_.address,
-                request,
-                o,
-                [caller, metadata](http::end_state end, http::response&& r) {
-                  caller.respond(relayed_response(end, r, metadata));
-                });
+  *sent = http_.fetch(
+    settings_.address,
+    request,
+    o,
+    [caller, metadata](http::exchange_outcome end, http::response&& r) {
+      caller.respond(relayed_response(end, r, metadata));
+    });
   caller.on_disconnect([sent] { sent->cancel(); });
 }
 
@@ -78,7 +78,7 @@
   metadata.asked_ms = http::boot_ms();
   metadata.message =
     answers ? piggyback.answer(relayed.message) : nlohmann::json{};
-  const auto done = [caller, metadata](http::end_state end,
+  const auto done = [caller, metadata](http::exchange_outcome end,
                                        const http::response& r,
                                        std::uint64_t confirmed_ms) {
     auto n = metadata;
@@ -125,9 +125,10 @@
     const auto ended = [this,
                         target = inner.request.target,
                         held_ms = inner.held_ms,
-                        asked_ms = http::boot_ms()](http::end_state end,
+                        asked_ms = http::boot_ms()](http::exchange_outcome end,
                                                     http::response&& r) {
-      const bool changed = end == http::end_state::complete && has_changes(r);
+      const bool changed =
+        end == http::exchange_outcome::complete && has_changes(r);
       const auto confirmed_ms =
         store_confirmed_ms(asked_ms, held_ms, changed, http::boot_ms());
       direct_watches_.complete(
@@ -157,8 +158,8 @@
     http_.fetch(settings_.relays.front(),
                 encode(relayed),
                 o,
-                [this, inner, asked_ms = http::boot_ms()](http::end_state end,
-                                                          http::response&& r) {
+                [this, inner, asked_ms = http::boot_ms()](
+                  http::exchange_outcome end, http::response&& r) {
                   handle_upstream_response(inner, asked_ms, end, r);
                 });
   };
@@ -174,15 +175,15 @@
 void
 client::handle_upstream_response(const joinable_call& inner,
                                  std::uint64_t asked_ms,
-                                 http::end_state end,
+                                 http::exchange_outcome end,
                                  const http::response& r)
 {
   handle_piggyback(r);
   constexpr int unavailable = 503;
   const auto target = inner.request.target;
-  const bool complete = end == http::end_state::complete;
-  const bool refused =
-    end == http::end_state::not_sent || (complete && r.status == unavailable);
+  const bool complete = end == http::exchange_outcome::complete;
+  const bool refused = end == http::exchange_outcome::not_sent ||
+                       (complete && r.status == unavailable);
   if (refused || !complete) {
     record_outcome(paths_,
                    first_watch_path_,
@@ -198,7 +199,7 @@
   if (refused) {
     join_watch(inner,
                shared_watches::origin::relayed,
-               [this, target](http::end_state e,
+               [this, target](http::exchange_outcome e,
                               const http::response& a,
                               std::uint64_t confirmed_ms) {
                  upstream_watches_.complete(
--- a/cactusford/store/shared_watches-test.cc
+++ b/cactusford/store/shared_watches-test.cc
@@ -14,11 +14,13 @@
 {
   int answers = 0;
   std::uint64_t confirmed_ms = 0;
-  http::end_state end = http::end_state::not_sent;
+  http::exchange_outcome end = http::exchange_outcome::not_sent;
 
   shared_watches::handler handler()
   {
-    return [this](http::end_state e, const http::response&, std::uint64_t at) {
+    return [this](http::exchange_outcome e,
+                  const http::response&,
+                  std::uint64_t at) {
       ++answers;
       end = e;
       confirmed_ms = at;
@@ -44,7 +46,8 @@
       "t", 0, own, [&] { ++calls; }, a.handler());
   }
   cr_assert_eq(calls, 1);
-  w.complete("t", 10, http::end_state::complete, changes_response, 0, true);
+  w.complete(
+    "t", 10, http::exchange_outcome::complete, changes_response, 0, true);
   for (const auto& a : all) {
     cr_assert_eq(a.answers, 1);
   }
@@ -75,7 +78,8 @@
   recording_waiter first;
   w.join(
     "t", 0, own, [&] { ++calls; }, first.handler());
-  w.complete("t", 1000, http::end_state::complete, { 200, {}, "" }, 0, false);
+  w.complete(
+    "t", 1000, http::exchange_outcome::complete, { 200, {}, "" }, 0, false);
   recording_waiter again;
   w.join(
     "t", 1001, own, [&] { ++calls; }, again.handler());
@@ -95,9 +99,9 @@
     "t", 0, own, [&] { ++calls; }, a.handler());
   w.join(
     "t", 0, own, [&] { ++calls; }, b.handler());
-  w.complete("t", 5, http::end_state::cut, {}, 0, false);
+  w.complete("t", 5, http::exchange_outcome::cut, {}, 0, false);
   cr_assert_eq(a.answers + b.answers, 2);
-  cr_assert(b.end == http::end_state::cut);
+  cr_assert(b.end == http::exchange_outcome::cut);
   recording_waiter later;
   w.join(
     "t", 6, own, [&] { ++calls; }, later.handler());
@@ -115,8 +119,12 @@
   w.join(
     "t?since=2", 0, own, [&] { ++calls; }, b.handler());
   cr_assert_eq(calls, 2);
-  w.complete(
-    "t?since=1", 5, http::end_state::complete, changes_response, 0, true);
+  w.complete("t?since=1",
+             5,
+             http::exchange_outcome::complete,
+             changes_response,
+             0,
+             true);
   cr_assert_eq(a.answers, 1);
   cr_assert_eq(b.answers, 0);
 }
@@ -134,7 +142,8 @@
   w.join(
     "t", 0, shared_watches::origin::relayed, [&] { ++calls; }, other.handler());
   cr_assert_eq(w.take_relayed_handlers().size(), 1);
-  w.complete("t", 5, http::end_state::complete, changes_response, 0, true);
+  w.complete(
+    "t", 5, http::exchange_outcome::complete, changes_response, 0, true);
   cr_assert_eq(mine.answers, 1);
   cr_assert_eq(other.answers, 0);
 }
@@ -150,8 +159,12 @@
   recording_waiter late;
   w.join(
     "t", 0, own, [] {}, first.handler());
-  w.complete(
-    "t", 100, http::end_state::complete, changes_response, confirmed_ms, true);
+  w.complete("t",
+             100,
+             http::exchange_outcome::complete,
+             changes_response,
+             confirmed_ms,
+             true);
   w.join(
     "t", 200, own, [] {}, late.handler());
   cr_assert_eq(first.confirmed_ms, confirmed_ms);
--- a/cactusford/store/shared_watches.cc
+++ b/cactusford/store/shared_watches.cc
@@ -12,7 +12,7 @@
   const auto recent = recent_.find(target);
   if (recent != recent_.end() && now_ms - recent->second.at_ms < reuse_ms) {
     const auto& a = recent->second;
-    done(http::end_state::complete, a.value, a.confirmed_ms);
+    done(http::exchange_outcome::complete, a.value, a.confirmed_ms);
     return;
   }
   const auto [waiting, is_first] = waiting_.try_emplace(target);
@@ -25,7 +25,7 @@
 void
 shared_watches::complete(const std::string& target,
                          std::uint64_t now_ms,
-                         http::end_state end,
+                         http::exchange_outcome end,
                          const http::response& r,
                          std::uint64_t confirmed_ms,
                          bool has_changes)
@@ -33,7 +33,7 @@
   std::erase_if(recent_, [&](const auto& e) {
     return now_ms - e.second.at_ms >= reuse_ms;
   });
-  if (end == http::end_state::complete && has_changes) {
+  if (end == http::exchange_outcome::complete && has_changes) {
     recent_[target] = { now_ms, confirmed_ms, r };
   }
   const auto found = waiting_.find(target);
--- a/cactusford/store/shared_watches.h
+++ b/cactusford/store/shared_watches.h
@@ -24,8 +24,9 @@
 public:
   // Receives how the call ended, the response, and the time as of which the
   // answer is known to be valid, on this instance's `boot_ms` clock.
-  using handler = std::function<
-    void(http::end_state, const http::response&, std::uint64_t confirmed_ms)>;
+  using handler = std::function<void(http::exchange_outcome,
+                                     const http::response&,
+                                     std::uint64_t confirmed_ms)>;
   // Makes the call to the store; `complete` must be called when it has ended.
   using call_starter = std::function<void()>;
 
@@ -49,7 +50,7 @@
   // wait for the next change.
   void complete(const std::string& target,
                 std::uint64_t now_ms,
-                http::end_state end,
+                http::exchange_outcome end,
                 const http::response& r,
                 std::uint64_t confirmed_ms,
                 bool has_changes);
--- a/cactusford/store/store.cc
+++ b/cactusford/store/store.cc
@@ -268,7 +268,7 @@
   if (path == direct_path && is_joined) {
     join_watch({ a->request, timeout_ms, a->call.wait_ms },
                shared_watches::origin::own,
-               [this, a, sent](http::end_state end,
+               [this, a, sent](http::exchange_outcome end,
                                const http::response& r,
                                std::uint64_t confirmed_ms) {
                  handle_response(
@@ -276,7 +276,8 @@
                });
     return;
   }
-  const auto ended = [this, a, sent](http::end_state end, http::response&& r) {
+  const auto ended = [this, a, sent](http::exchange_outcome end,
+                                     http::response&& r) {
     const auto confirmed_ms =
       sent.path == direct_path
         ? sent.at_ms
@@ -304,19 +305,20 @@
 void
 client::handle_response(const std::shared_ptr<attempt>& a,
                         path_try sent,
-                        http::end_state end,
+                        http::exchange_outcome end,
                         http::response&& r,
                         std::uint64_t confirmed_ms)
 {
   const auto now = http::now_ms();
   // The list of relays may have been replaced since the call was sent.
   const auto path = sent.path < paths_.paths.size() ? sent.path : direct_path;
-  const bool complete = end == http::end_state::complete;
+  const bool complete = end == http::exchange_outcome::complete;
   --a->tries_in_flight;
   handle_piggyback(r);
   reply answer;
-  answer.result = end == http::end_state::not_sent ? call_result::refused
-                                                   : call_result::unknown;
+  answer.result = end == http::exchange_outcome::not_sent
+                    ? call_result::refused
+                    : call_result::unknown;
   if (complete) {
     answer = dialect_.decode(a->call, r);
   }
@@ -372,7 +374,7 @@
 void
 client::log_failure(const attempt& a,
                     path_try sent,
-                    http::end_state end,
+                    http::exchange_outcome end,
                     call_result v)
 {
   ++failed_tries_;
--- a/cactusford/store/store.h
+++ b/cactusford/store/store.h
@@ -244,13 +244,13 @@
   void finish(const std::shared_ptr<attempt>& a, reply&& r);
   void handle_response(const std::shared_ptr<attempt>& a,
                        path_try sent,
-                       http::end_state end,
+                       http::exchange_outcome end,
                        http::response&& r,
                        std::uint64_t confirmed_ms);
   std::string name_of_path(std::size_t path) const;
   void log_failure(const attempt& a,
                    path_try sent,
-                   http::end_state end,
+                   http::exchange_outcome end,
                    call_result v);
   void fail(const std::shared_ptr<attempt>& a);
   void handle_piggyback(const http::response& r) const;
@@ -264,7 +264,7 @@
                      shared_watches::handler done);
   void handle_upstream_response(const joinable_call& inner,
                                 std::uint64_t asked_ms,
-                                http::end_state end,
+                                http::exchange_outcome end,
                                 const http::response& r);
   bool should_join_upstream(std::uint64_t hops);
   bool has_changes(const http::response& r) const;
--- a/cactusford/usage/meter.cc
+++ b/cactusford/usage/meter.cc
@@ -176,10 +176,10 @@
               r,
               o,
               [this, to = holder.address, version = version_](
-                http::end_state end, http::response&& a) {
+                http::exchange_outcome end, http::response&& a) {
                 is_sending_counts_ = false;
                 constexpr int ok = 200;
-                if (end == http::end_state::complete && a.status == ok) {
+                if (end == http::exchange_outcome::complete && a.status == ok) {
                   counts_sent_to_ = to;
                   sent_version_ = version;
                 }
@@ -331,18 +331,18 @@
     settings_.platform,
     request,
     o,
-    [this, w = std::move(w)](http::end_state end, http::response&& r) {
+    [this, w = std::move(w)](http::exchange_outcome end, http::response&& r) {
       on_report_sent(w, end, r);
     });
 }
 
 void
 meter::on_report_sent(const fixed_window& w,
-                      http::end_state end,
+                      http::exchange_outcome end,
                       const http::response& r)
 {
   is_busy_ = false;
-  const bool complete = end == http::end_state::complete;
+  const bool complete = end == http::exchange_outcome::complete;
   const auto answer =
     complete ? dialect_.duty_answer_from(r) : edge::duty_answer::refused;
   process::log_line(timeline::event{ "usage_window_sent" }
--- a/cactusford/usage/meter.h
+++ b/cactusford/usage/meter.h
@@ -101,7 +101,7 @@
   void on_fixed(fixed_window&& w, store::reply&& r);
   void send_report(fixed_window w);
   void on_report_sent(const fixed_window& w,
-                      http::end_state end,
+                      http::exchange_outcome end,
                       const http::response& r);
   void give_up_window(std::uint64_t number);
   void finish_window(std::uint64_t number);
--- a/soak/world.cc
+++ b/soak/world.cc
@@ -287,11 +287,12 @@
   probers_.fetch(e.callers,
                  r,
                  o,
-                 [this, &e, p, was_undisturbed](http::end_state end,
+                 [this, &e, p, was_undisturbed](http::exchange_outcome end,
                                                 http::response&& a) mutable {
                    constexpr int ok = 200;
                    constexpr int missing = 404;
-                   if (end != http::end_state::complete || e.life != p.life ||
+                   if (end != http::exchange_outcome::complete ||
+                       e.life != p.life ||
                        (a.status != ok && a.status != missing)) {
                      return;
                    }
@@ -558,17 +559,17 @@
     any_entry().callers,
     r,
     o,
-    [this, &t](http::end_state end, http::response&& a) {
+    [this, &t](http::exchange_outcome end, http::response&& a) {
       constexpr int accepted = 202;
       constexpr int refused = 503;
-      if (end == http::end_state::complete && a.status == accepted) {
+      if (end == http::exchange_outcome::complete && a.status == accepted) {
         judge_.on_accepted(t.batch);
         read(t);
         return;
       }
       const bool not_run =
-        end == http::end_state::not_sent ||
-        (end == http::end_state::complete && a.status == refused);
+        end == http::exchange_outcome::not_sent ||
+        (end == http::exchange_outcome::complete && a.status == refused);
       t.only_refused = t.only_refused && not_run;
       const bool gives_up = t.only_refused && random_() % give_up_of == 0;
       if (gives_up || (winding_up_ && t.only_refused)) {
@@ -601,17 +602,17 @@
     any_entry().callers,
     r,
     o,
-    [this, &t, from, asked](http::end_state end, http::response&& a) {
+    [this, &t, from, asked](http::exchange_outcome end, http::response&& a) {
       constexpr int ok = 200;
       constexpr int missing = 404;
       if (over_) {
         return;
       }
-      if (end == http::end_state::complete && a.status == missing) {
+      if (end == http::exchange_outcome::complete && a.status == missing) {
         judge_.on_missing(t.batch, asked);
       }
       const auto page = json::parse(a.body, nullptr, false);
-      if (end == http::end_state::complete && a.status == ok &&
+      if (end == http::exchange_outcome::complete && a.status == ok &&
           page.is_object()) {
         std::vector<seen_result> results;
         for (const auto& x : page.at("results")) {
@@ -646,12 +647,13 @@
   callers_.fetch(any_entry().callers,
                  r,
                  o,
-                 [this, &t](http::end_state end, http::response&& a) {
+                 [this, &t](http::exchange_outcome end, http::response&& a) {
                    constexpr int ok = 200;
                    if (over_) {
                      return;
                    }
-                   if (end == http::end_state::complete && a.status == ok) {
+                   if (end == http::exchange_outcome::complete &&
+                       a.status == ok) {
                      judge_.on_ended(t.batch, http::now_ms());
                      submit(t);
                      return;
@@ -682,8 +684,8 @@
     any_entry().callers,
     r,
     o,
-    [this, id](http::end_state end, http::response&& a) {
-      if (end == http::end_state::complete) {
+    [this, id](http::exchange_outcome end, http::response&& a) {
+      if (end == http::exchange_outcome::complete) {
         const auto signature =
           std::string{ http::find(a.fields, "Signature").value_or("") };
         judge_.on_call_answer(id, a.status, a.body, signature);
--- a/tests/batches-test.cc
+++ b/tests/batches-test.cc
@@ -548,10 +548,13 @@
     http::request r{
       "GET", "/b/", { { "Host", "h" }, { "Id", std::string{ batch_id } } }, ""
     };
-    cluster.caller.fetch(
-      e.front_address(), r, {}, [&](http::end_state, http::response&& a) {
-        seen.push_back(json::parse(a.body).at("results").size());
-      });
+    cluster.caller.fetch(e.front_address(),
+                         r,
+                         {},
+                         [&](http::exchange_outcome, http::response&& a) {
+                           seen.push_back(
+                             json::parse(a.body).at("results").size());
+                         });
   }
   cluster.run_until([&] { return seen.size() == 3; });
   for (const auto size : seen) {
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -267,7 +267,7 @@
     http::exchange_options o;
     o.timeout_ms = hang_timeout_ms;
     caller.fetch(
-      e.front_address(), r, o, [&](http::end_state, http::response&& a) {
+      e.front_address(), r, o, [&](http::exchange_outcome, http::response&& a) {
         status = a.status;
         done = true;
       });
@@ -290,7 +290,7 @@
     http::exchange_options o;
     o.timeout_ms = hang_timeout_ms;
     caller.fetch(
-      e.front_address(), r, o, [&](http::end_state, http::response&& a) {
+      e.front_address(), r, o, [&](http::exchange_outcome, http::response&& a) {
         if (a.status == 200) {
           page = json::parse(a.body);
         }
@@ -353,7 +353,7 @@
       "127.0.0.1:" + std::to_string(e.peer.port()),
       r,
       o,
-      [&](http::end_state, http::response&& a) { status = a.status; });
+      [&](http::exchange_outcome, http::response&& a) { status = a.status; });
     run_until([&] { return status != 0; });
     return status;
   }
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -42,7 +42,7 @@
 
 struct exchange_result
 {
-  http::end_state end = http::end_state::not_sent;
+  http::exchange_outcome end = http::exchange_outcome::not_sent;
   http::response value;
 };
 
@@ -193,9 +193,10 @@
     std::optional<exchange_result> result;
     http::exchange_options o;
     o.timeout_ms = 5000;
-    http.fetch(address, r, o, [&](http::end_state end, http::response&& a) {
-      result = { end, std::move(a) };
-    });
+    http.fetch(
+      address, r, o, [&](http::exchange_outcome end, http::response&& a) {
+        result = { end, std::move(a) };
+      });
     run_until([&] { return result.has_value(); });
     return *result;
   }
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -195,7 +195,7 @@
         { { "Host", "h" }, { "Id", id }, { "Wait", "2000" } },
         body },
       o,
-      [this](http::end_state end, http::response&& response) {
+      [this](http::exchange_outcome end, http::response&& response) {
         --in_flight;
         quarantined += is_quarantined({ end, std::move(response) }) ? 1 : 0;
       });
--- a/tests/store-test.cc
+++ b/tests/store-test.cc
@@ -152,7 +152,7 @@
       nodes.all[0]->address(),
       { "POST", "/store", { { "Host", "h" } }, body },
       {},
-      [&](http::end_state, http::response&& a) { status = a.status; });
+      [&](http::exchange_outcome, http::response&& a) { status = a.status; });
     nodes.run_until([&] { return status != 0; });
     cr_assert_eq(status, 400, "%s", body);
   }
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -73,15 +73,18 @@
     auto request = c.request();
     remove_hop_by_hop(request.fields);
     auto sent = std::make_shared<http::pending_request>();
-    *sent = client.fetch(
-      to, request, o, [this, c](http::end_state end, http::response&& r) {
-        answer_later(c, end, std::move(r));
-      });
+    *sent =
+      client.fetch(to,
+                   request,
+                   o,
+                   [this, c](http::exchange_outcome end, http::response&& r) {
+                     answer_later(c, end, std::move(r));
+                   });
     c.on_disconnect([sent] { sent->cancel(); });
   }
 
   void answer_later(const http::call& c,
-                    http::end_state end,
+                    http::exchange_outcome end,
                     http::response&& r)
   {
     auto t = std::make_shared<http::timer>(
@@ -92,13 +95,15 @@
       });
   }
 
-  void answer(const http::call& c, http::end_state end, http::response&& r)
+  void answer(const http::call& c,
+              http::exchange_outcome end,
+              http::response&& r)
   {
     if (is_cut) {
       held_calls.push_back(c);
       return;
     }
-    if (end != http::end_state::complete) {
+    if (end != http::exchange_outcome::complete) {
       c.abort();
       return;
     }
