--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -264,7 +264,7 @@
   const auto now = http::now_ms();
   const bool is_healthy =
     i.events_in_run > 0 && now - i.first_event_ms > healthy_run_ms;
-  if (end == http::exchange_outcome::cut && !is_healthy) {
+  if (end == http::exchange_outcome::connection_lost && !is_healthy) {
     deps.quarantine_manager->on_connection_lost(i.backend, i.address, i.work);
   } else if (end == http::exchange_outcome::complete && !i.not_run) {
     deps.quarantine_manager->on_answered(i.work);
--- a/cactusford/edge/forward-test.cc
+++ b/cactusford/edge/forward-test.cc
@@ -74,7 +74,7 @@
 // that the call was not run.
 Test(forward, never_repeats_what_may_have_run_and_must_not_run_twice)
 {
-  for (const auto e : { exchange_outcome::cut,
+  for (const auto e : { exchange_outcome::connection_lost,
                         exchange_outcome::timed_out,
                         exchange_outcome::malformed }) {
     cr_assert(after_attempt(ended(e), progress(false, 1, 3)) ==
@@ -98,7 +98,7 @@
 {
   auto suspect = progress(true, 1, 3);
   suspect.repeatable_after_disconnect = false;
-  cr_assert(after_attempt(ended(exchange_outcome::cut), suspect) ==
+  cr_assert(after_attempt(ended(exchange_outcome::connection_lost), suspect) ==
             next_step::give_up_unknown);
   cr_assert(after_attempt(ended(exchange_outcome::not_sent), suspect) ==
             next_step::try_another);
@@ -116,8 +116,8 @@
 
 Test(forward, respects_the_maximum_runs_of_the_route)
 {
-  cr_assert(after_attempt(ended(exchange_outcome::cut), progress(true, 3, 3)) ==
-            next_step::give_up_unknown);
+  cr_assert(after_attempt(ended(exchange_outcome::connection_lost),
+                          progress(true, 3, 3)) == next_step::give_up_unknown);
 }
 
 // A scorer call is answered three times with 500, and the fourth time with 504
@@ -141,7 +141,7 @@
     end.not_run = true;
     cr_assert_not(is_failed_run(end));
     end.not_run = false;
-    end.state = cactusford::http::exchange_outcome::cut;
+    end.state = cactusford::http::exchange_outcome::connection_lost;
     cr_assert_not(is_failed_run(end));
   }
 }
--- a/cactusford/edge/forward.cc
+++ b/cactusford/edge/forward.cc
@@ -79,7 +79,7 @@
     return p.runs == 0 ? next_step::give_up_not_run
                        : next_step::give_up_unknown;
   }
-  const bool is_cut = end.state == http::exchange_outcome::cut;
+  const bool is_cut = end.state == http::exchange_outcome::connection_lost;
   const bool repeatable =
     p.repeatable && (!is_cut || p.repeatable_after_disconnect);
   const bool may_repeat =
@@ -265,7 +265,7 @@
   if (quarantine_ == nullptr) {
     return;
   }
-  if (end.state == http::exchange_outcome::cut) {
+  if (end.state == http::exchange_outcome::connection_lost) {
     quarantine_->on_connection_lost(a.backend, a.address, call.fingerprint);
   } else if (end.state == http::exchange_outcome::complete && end.is_signed &&
              !end.not_run) {
@@ -526,7 +526,7 @@
   ended.status = r.status;
   ended.not_run = not_run;
   ended.is_signed = http::find(r.fields, names.signature).has_value();
-  if (end == http::exchange_outcome::cut) {
+  if (end == http::exchange_outcome::connection_lost) {
     log_lost_connection(*call, a, now);
   }
   report_to_quarantine(*call, a, ended);
--- a/cactusford/edge/forward.h
+++ b/cactusford/edge/forward.h
@@ -76,7 +76,7 @@
 
 struct attempt_end
 {
-  http::exchange_outcome state = http::exchange_outcome::cut;
+  http::exchange_outcome state = http::exchange_outcome::connection_lost;
   int status = 0;
   // The answer states that the request was not run.
   bool not_run = false;
--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -54,7 +54,7 @@
       return "complete";
     case exchange_outcome::not_sent:
       return "not_sent";
-    case exchange_outcome::cut:
+    case exchange_outcome::connection_lost:
       return "cut";
     case exchange_outcome::timed_out:
       return "timed_out";
@@ -336,7 +336,7 @@
     }
   }
   if (!closed) {
-    finish(exchange_outcome::cut);
+    finish(exchange_outcome::connection_lost);
   }
 }
 
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -89,7 +89,7 @@
 struct outcome
 {
   bool done = false;
-  exchange_outcome end = exchange_outcome::cut;
+  exchange_outcome end = exchange_outcome::connection_lost;
   response answer;
 };
 
--- a/cactusford/store/relay_wire-test.cc
+++ b/cactusford/store/relay_wire-test.cc
@@ -81,7 +81,7 @@
   cr_assert(reports_store_unreachable(store_unreachable_response()));
   const auto not_sent = relayed_response(exchange_outcome::not_sent, {}, {});
   cr_assert_eq(not_sent.status, 503, "the call was not executed");
-  const auto cut = relayed_response(exchange_outcome::cut, {}, {});
+  const auto cut = relayed_response(exchange_outcome::connection_lost, {}, {});
   cr_assert_eq(cut.status, 504, "the call may have been executed");
   cr_assert(reports_store_unreachable(cut));
   cr_assert_not(
--- a/cactusford/store/shared_watches-test.cc
+++ b/cactusford/store/shared_watches-test.cc
@@ -99,9 +99,9 @@
     "t", 0, own, [&] { ++calls; }, a.handler());
   w.join(
     "t", 0, own, [&] { ++calls; }, b.handler());
-  w.complete("t", 5, http::exchange_outcome::cut, {}, 0, false);
+  w.complete("t", 5, http::exchange_outcome::connection_lost, {}, 0, false);
   cr_assert_eq(a.answers + b.answers, 2);
-  cr_assert(b.end == http::exchange_outcome::cut);
+  cr_assert(b.end == http::exchange_outcome::connection_lost);
   recording_waiter later;
   w.join(
     "t", 6, own, [&] { ++calls; }, later.handler());
