--- a/cactusford/engine/client.cc
+++ b/cactusford/engine/client.cc
@@ -24,20 +24,20 @@
 constexpr int unavailable = 503;
 
 bool
-never_left(const httplib::Result& r)
+is_not_sent(const httplib::Result& r)
 {
   return r.error() == httplib::Error::Connection ||
          r.error() == httplib::Error::ConnectionTimeout ||
          r.error() == httplib::Error::BindIPAddress;
 }
 
-// Splits the event stream into its data lines.
+// Splits the event stream into data lines and parses them as JSON.
 class event_reader
 {
 public:
-  // False when a line is too long or not JSON.
+  // Returns false if a line is too long or not JSON.
   template<typename F>
-  bool feed(const char* data, std::size_t size, F take)
+  bool feed(const char* data, std::size_t size, F on_event)
   {
     text_.append(data, size);
     std::size_t at = 0;
@@ -52,7 +52,7 @@
       if (j.is_discarded()) {
         return false;
       }
-      take(j);
+      on_event(j);
     }
     text_.erase(0, at);
     return text_.size() <= max_line;
@@ -93,7 +93,7 @@
 generation_result
 client::generate(const generation_request& g,
                  const std::atomic<bool>& cancelled,
-                 const std::function<void(const token_chunk&)>& take)
+                 const std::function<void(const token_chunk&)>& on_tokens)
 {
   const json body{ { "request_id", g.request_id },
                    { "attempt", g.attempt },
@@ -113,9 +113,9 @@
       end.finish_reason = j.value("finish_reason", std::string{});
       return;
     }
-    take({ j.value("count", 0U),
-           j.value("text", std::string{}),
-           j.value("weight_version", std::uint64_t{ 0 }) });
+    on_tokens({ j.value("count", 0U),
+                j.value("text", std::string{}),
+                j.value("weight_version", std::uint64_t{ 0 }) });
   };
   httplib::Request request;
   request.method = "POST";
@@ -135,17 +135,17 @@
       return !malformed;
     };
   auto c = state_->connect(token_timeout);
-  const auto answer = c.send(request);
+  const auto response = c.send(request);
   if (cancelled) {
     end.error = { error_kind::cancelled, "the caller gave up" };
-  } else if (!answer && never_left(answer)) {
+  } else if (!response && is_not_sent(response)) {
     end.error = { error_kind::no_backend, "the engine does not answer", 500 };
-  } else if (answer && (status == too_many || status == unavailable)) {
+  } else if (response && (status == too_many || status == unavailable)) {
     end.error = { error_kind::overloaded, "the engine refused it", 200 };
-  } else if (answer && status != ok) {
+  } else if (response && status != ok) {
     end.error = { error_kind::backend_failed,
                   "engine status " + std::to_string(status) };
-  } else if (!answer || malformed || end.finish_reason.empty()) {
+  } else if (!response || malformed || end.finish_reason.empty()) {
     end.error = { error_kind::stream_cut, "the engine's stream was cut" };
   }
   return end;
@@ -163,18 +163,18 @@
   if (!r.content_type.empty()) {
     request.set_header("Content-Type", r.content_type);
   }
-  const auto answer = c.send(request);
-  if (!answer && never_left(answer)) {
+  const auto response = c.send(request);
+  if (!response && is_not_sent(response)) {
     return { {},
              { error_kind::no_backend, "the service does not answer", 500 } };
   }
-  if (!answer) {
+  if (!response) {
     return { {},
              { error_kind::outcome_unknown, "the service's answer is lost" } };
   }
-  return { { static_cast<std::uint32_t>(answer->status),
-             answer->get_header_value("Content-Type"),
-             answer->body },
+  return { { static_cast<std::uint32_t>(response->status),
+             response->get_header_value("Content-Type"),
+             response->body },
            {} };
 }
 
@@ -186,17 +186,17 @@
                    { "fence", o.fence } };
   const auto* path =
     o.kind == order_kind::stage ? "/orders/stage" : "/orders/swap";
-  const auto answer =
+  const auto response =
     state_->connect(order_timeout).Post(path, body.dump(), "application/json");
-  if (!answer) {
+  if (!response) {
     return { error_kind::outcome_unknown, "the answer to the order is lost" };
   }
-  if (answer->status == conflict) {
+  if (response->status == conflict) {
     return { error_kind::fenced, "the engine has seen a newer order" };
   }
-  if (answer->status != ok) {
+  if (response->status != ok) {
     return { error_kind::backend_failed,
-             "engine status " + std::to_string(answer->status) };
+             "engine status " + std::to_string(response->status) };
   }
   return {};
 }
@@ -205,11 +205,11 @@
 client::read_versions(const std::string& model)
 {
   const auto path = "/versions?model=" + model;
-  const auto answer = state_->connect(milliseconds{ 2000 }).Get(path);
-  if (!answer || answer->status != ok) {
+  const auto response = state_->connect(milliseconds{ 2000 }).Get(path);
+  if (!response || response->status != ok) {
     return { {}, { error_kind::backend_failed, "versions cannot be read" } };
   }
-  const auto j = json::parse(answer->body, nullptr, false);
+  const auto j = json::parse(response->body, nullptr, false);
   if (j.is_discarded()) {
     return { {}, { error_kind::backend_failed, "versions are not JSON" } };
   }
--- a/cactusford/engine/client.h
+++ b/cactusford/engine/client.h
@@ -1,5 +1,5 @@
-// Client of a backend server: a model engine or a plain service. Calls block:
-// run them on a worker thread. Protocol: docs/ENGINE.md.
+// Blocking client of a backend server (a model engine or a plain service), to
+// be used on a worker thread. docs/ENGINE.md describes the protocol.
 #pragma once
 
 #include "cactusford/error.h"
@@ -19,10 +19,10 @@
   std::string model;
   std::string prompt;
   std::uint32_t max_tokens = 0;
-  // Tokens already generated elsewhere, with their text.
+  // Number and text of the tokens that an earlier attempt generated.
   std::uint32_t resume_from = 0;
   std::string resume_text;
-  // Lower runs first.
+  // Requests with a lower value run first.
   std::uint32_t priority = 0;
 
   friend bool operator==(const generation_request&,
@@ -33,7 +33,7 @@
 {
   std::uint32_t count = 0;
   std::string text;
-  // 0 when the engine does not report versions.
+  // 0 if the engine does not report versions.
   std::uint64_t weight_version = 0;
 
   friend bool operator==(const token_chunk&, const token_chunk&) = default;
@@ -78,7 +78,7 @@
   order_kind kind = order_kind::stage;
   std::string model;
   std::uint64_t version = 0;
-  // Refused when the engine has seen a higher one.
+  // Fencing token. The engine rejects an order if it has seen a higher one.
   std::uint64_t fence = 0;
 
   friend bool operator==(const order&, const order&) = default;
@@ -86,7 +86,7 @@
 
 struct versions
 {
-  // 0 when there is none.
+  // 0 if there is none.
   std::uint64_t active = 0;
   std::uint64_t staged = 0;
 
@@ -100,18 +100,20 @@
   explicit client(const std::string& address);
   ~client();
 
-  // Streams tokens until the end, an error, or `cancelled`. An answer without
-  // its end mark is an error (stream_cut).
+  // Streams tokens until the generation ends, fails or is cancelled. A stream
+  // without a finish reason is an error (stream_cut).
   generation_result generate(
     const generation_request& g,
     const std::atomic<bool>& cancelled,
-    const std::function<void(const token_chunk&)>& take);
+    const std::function<void(const token_chunk&)>& on_tokens);
 
-  // Errors: no_backend (it never left), outcome_unknown.
+  // Sends a request to a service. Errors: no_backend (the request was not
+  // sent), outcome_unknown.
   result<service_answer> call(const service_request& r,
                               std::uint32_t deadline_ms);
 
-  // Errors: fenced, backend_failed (refused), outcome_unknown.
+  // Sends an order to stage or swap weights. Errors: fenced, backend_failed
+  // (rejected), outcome_unknown.
   failure submit_order(const order& o);
 
   result<versions> read_versions(const std::string& model);
--- a/cactusford/error.h
+++ b/cactusford/error.h
@@ -1,4 +1,4 @@
-// Typed errors of the whole project.
+// Error kinds of the project, with their remedies and HTTP statuses.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,8 @@
 
 namespace cactusford {
 
-// What went wrong, as a caller, trainer or operator can act on it.
+// Kinds of errors, distinguished by how a caller, trainer or operator can
+// react.
 enum class error_kind
 {
   none = 0,
@@ -42,27 +43,29 @@
 std::error_code
 make_error_code(error_kind kind) noexcept;
 
-// Stable name on the wire and in logs, such as "outcome_unknown".
+// Returns the stable name used on the wire and in logs, such as
+// "outcome_unknown".
 std::string_view
 name_of(error_kind kind) noexcept;
 
-// Unknown names give `outcome_unknown`: the kind that promises least.
+// Returns the kind of that name. An unknown name gives `outcome_unknown`, the
+// kind with the weakest guarantee.
 error_kind
 error_kind_from(std::string_view name) noexcept;
 
-// What the reader of the message can do about it.
+// Returns what the recipient of the error can do about it.
 std::string_view
 remedy_of(error_kind kind) noexcept;
 
-// True when the error says that the request never ran.
+// Returns true if the error guarantees that the request was not run.
 bool
 is_not_run(error_kind kind) noexcept;
 
-// HTTP status for a caller.
+// Returns the HTTP status of the response to a caller.
 int
 http_status_of(error_kind kind) noexcept;
 
-// An error with its detail. `retry_after_ms` is 0 when a retry does not help.
+// An error with its detail. `retry_after_ms` is 0 if a retry does not help.
 struct failure
 {
   error_kind kind = error_kind::none;
@@ -73,7 +76,7 @@
   friend bool operator==(const failure&, const failure&) = default;
 };
 
-// A value, or the error that stands in its place.
+// A value or an error.
 template<typename T>
 struct result
 {
@@ -83,7 +86,7 @@
   explicit operator bool() const noexcept { return !error; }
 };
 
-// "kind: detail; remedy".
+// Formats an error as "kind: detail; remedy".
 std::string
 message_of(const failure& f);
 
--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -497,8 +497,8 @@
                         : exchange_outcome::not_sent);
     }
   });
-  if (auto idle_list = impl_->take_idle(address)) {
-    idle_list->start(e);
+  if (auto reused = impl_->take_idle(address)) {
+    reused->start(e);
   } else {
     std::make_shared<detail::connection>(impl_, address)->open(e);
   }
--- a/cactusford/http/server.cc
+++ b/cactusford/http/server.cc
@@ -327,8 +327,7 @@
   }
   disconnect_handler = nullptr;
   asio::error_code ignored;
-  // Shuts down in order first: closing with unread input would send a reset,
-  // and the caller could lose the response.
+  // Shuts down sending first, so that a reset cannot discard what was sent.
   socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   socket.close(ignored);
 }
--- a/cactusford/link/link-test.cc
+++ b/cactusford/link/link-test.cc
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Two endpoints in one loop; `handler` is the server's.
-struct pair
+// A client and a server endpoint on one event loop. `handler` is the server's.
+struct endpoint_pair
 {
-  explicit pair(accept_handler handler, limits l = {})
+  explicit endpoint_pair(accept_handler handler, limits l = {})
     : server{ io, l }
     , client{ io, l }
   {
@@ -36,7 +36,7 @@
       io.run_one_for(std::chrono::milliseconds{ 100 });
       io.restart();
     }
-    cr_assert(done(), "it did not come about");
+    cr_assert(done(), "condition not met within 20 seconds");
   }
 
   asio::io_context io;
@@ -47,10 +47,10 @@
 
 } // namespace
 
-Test(link, messages_arrive_whole_and_in_order)
+Test(link, messages_arrive_complete_and_in_order)
 {
   std::vector<stream_ptr> open;
-  pair p{ [&](const stream_ptr& s) {
+  endpoint_pair endpoints{ [&](const stream_ptr& s) {
     open.push_back(s);
     s->on_message = [raw = s.get()](std::string_view m) {
       raw->send(std::string{ "<" } + std::string{ m } + ">");
@@ -58,108 +58,128 @@
     };
   } };
   const std::string large(3'000'000, 'x');
-  std::optional<std::string> got;
-  ask(p.io, p.client, p.bound, "/echo", large, 10000, [&](const auto& r) {
-    cr_assert(static_cast<bool>(r));
-    got = r.value;
-  });
-  p.run_until([&] { return got.has_value(); });
-  cr_assert_eq(got->size(), large.size() + 2);
+  std::optional<std::string> received;
+  send_request(endpoints.io,
+               endpoints.client,
+               endpoints.bound,
+               "/echo",
+               large,
+               10000,
+               [&](const auto& r) {
+                 cr_assert(static_cast<bool>(r));
+                 received = r.value;
+               });
+  endpoints.run_until([&] { return received.has_value(); });
+  cr_assert_eq(received->size(), large.size() + 2);
 }
 
-// The peer's process is gone. The caller learns that its request never left,
-// which is the one case in which a booking may be sent elsewhere at once.
-Test(link, a_dead_peer_is_told_from_a_cut_stream)
+// If the peer's process does not exist, the caller must learn that its request
+// was not sent: only then may a non-idempotent request be sent elsewhere at
+// once.
+Test(link, distinguishes_a_dead_peer_from_a_reset_stream)
 {
   std::vector<stream_ptr> open;
-  pair p{ [&](const stream_ptr& s) { open.push_back(s); } };
-  SECTION("nobody listens: not connected")
+  endpoint_pair endpoints{ [&](const stream_ptr& s) { open.push_back(s); } };
+  SECTION("no process listens: not_connected")
   {
-    address nobody;
+    address unused_address;
     {
-      asio::ip::tcp::acceptor a{ p.io,
+      asio::ip::tcp::acceptor a{ endpoints.io,
                                  { asio::ip::make_address("127.0.0.1"), 0 } };
-      nobody = { "127.0.0.1", a.local_endpoint().port() };
+      unused_address = { "127.0.0.1", a.local_endpoint().port() };
     }
     std::optional<std::error_code> end;
-    auto s = p.client.open(nobody, "/x");
+    auto s = endpoints.client.open(unused_address, "/x");
     s->on_close = [&](std::error_code ec) { end = ec; };
     s->send("booking");
-    p.run_until([&] { return end.has_value(); });
+    endpoints.run_until([&] { return end.has_value(); });
     cr_assert(*end == link_error::not_connected);
   }
-  SECTION("the server resets the stream: cut")
+  SECTION("the server resets the stream: closed_early")
   {
     std::optional<std::error_code> end;
-    auto s = p.client.open(p.bound, "/x");
+    auto s = endpoints.client.open(endpoints.bound, "/x");
     s->on_close = [&](std::error_code ec) { end = ec; };
     s->send("booking");
-    p.run_until([&] { return !open.empty(); });
+    endpoints.run_until([&] { return !open.empty(); });
     open[0]->cancel();
-    p.run_until([&] { return end.has_value(); });
-    cr_assert(*end == link_error::cut);
+    endpoints.run_until([&] { return end.has_value(); });
+    cr_assert(*end == link_error::closed_early);
   }
 }
 
-// A server that leaves sends GOAWAY. A request that crosses it on the wire
-// ends as "not connected", and one that was accepted before ends whole.
-Test(link, a_leaving_server_cuts_nothing)
+// A draining server sends GOAWAY. A request sent before the client receives it
+// ends as not_connected, and one accepted earlier completes.
+Test(link, a_draining_server_completes_open_streams)
 {
   std::vector<stream_ptr> open;
-  pair p{ [&](const stream_ptr& s) { open.push_back(s); } };
-  std::optional<std::string> got;
-  ask(p.io, p.client, p.bound, "/slow", "q", 10000, [&](const auto& r) {
-    cr_assert(static_cast<bool>(r), "%s", message_of(r.error).c_str());
-    got = r.value;
-  });
-  p.run_until([&] { return !open.empty(); });
-  p.server.stop_listening();
-  std::optional<error_kind> late;
-  ask(p.io, p.client, p.bound, "/late", "q", 10000, [&](const auto& r) {
-    late = r.error.kind;
-  });
-  p.run_until([&] { return late.has_value(); });
-  cr_assert(*late == error_kind::no_backend);
+  endpoint_pair endpoints{ [&](const stream_ptr& s) { open.push_back(s); } };
+  std::optional<std::string> received;
+  send_request(endpoints.io,
+               endpoints.client,
+               endpoints.bound,
+               "/slow",
+               "q",
+               10000,
+               [&](const auto& r) {
+                 cr_assert(
+                   static_cast<bool>(r), "%s", message_of(r.error).c_str());
+                 received = r.value;
+               });
+  endpoints.run_until([&] { return !open.empty(); });
+  endpoints.server.stop_listening();
+  std::optional<error_kind> late_error;
+  send_request(endpoints.io,
+               endpoints.client,
+               endpoints.bound,
+               "/late",
+               "q",
+               10000,
+               [&](const auto& r) { late_error = r.error.kind; });
+  endpoints.run_until([&] { return late_error.has_value(); });
+  cr_assert(*late_error == error_kind::no_backend);
   reply(*open[0], "answer");
-  p.run_until([&] { return got.has_value(); });
-  cr_assert(*got == "answer");
+  endpoints.run_until([&] { return received.has_value(); });
+  cr_assert(*received == "answer");
 }
 
-// A peer that is not one of ours, or broken: its bytes cost a closed
-// connection and nothing else.
-Test(link, garbage_and_oversize_close_only_their_own_connection)
+// Invalid input from a foreign or faulty peer must close its own connection and
+// affect nothing else.
+Test(link, invalid_input_closes_only_its_own_connection)
 {
   limits l;
   l.max_message = 1000;
   std::vector<stream_ptr> open;
   std::size_t messages = 0;
-  pair p{ [&](const stream_ptr& s) {
-           open.push_back(s);
-           s->on_message = [&](std::string_view) { ++messages; };
-         },
-          l };
-  SECTION("garbage")
+  endpoint_pair endpoints{ [&](const stream_ptr& s) {
+                            open.push_back(s);
+                            s->on_message = [&](std::string_view) {
+                              ++messages;
+                            };
+                          },
+                           l };
+  SECTION("the input is not HTTP/2")
   {
-    asio::ip::tcp::socket raw{ p.io };
-    raw.connect({ asio::ip::make_address("127.0.0.1"), p.bound.port });
+    asio::ip::tcp::socket raw{ endpoints.io };
+    raw.connect({ asio::ip::make_address("127.0.0.1"), endpoints.bound.port });
     asio::write(raw, asio::buffer(std::string(4096, 'g')));
-    p.run_until([&] { return p.server.connections() == 1; });
-    p.run_until([&] { return p.server.connections() == 0; });
+    endpoints.run_until([&] { return endpoints.server.connections() == 1; });
+    endpoints.run_until([&] { return endpoints.server.connections() == 0; });
   }
   SECTION("a message over the limit")
   {
     std::optional<std::error_code> end;
-    auto s = p.client.open(p.bound, "/big");
+    auto s = endpoints.client.open(endpoints.bound, "/big");
     s->on_close = [&](std::error_code ec) { end = ec; };
     s->send(std::string(2000, 'b'));
-    p.run_until([&] { return end.has_value(); });
+    endpoints.run_until([&] { return end.has_value(); });
     cr_assert(static_cast<bool>(*end));
     cr_assert_eq(messages, 0);
   }
   SECTION("the next peer is served")
   {
-    auto s = p.client.open(p.bound, "/fine");
+    auto s = endpoints.client.open(endpoints.bound, "/fine");
     s->send("hello");
-    p.run_until([&] { return messages == 1; });
+    endpoints.run_until([&] { return messages == 1; });
   }
 }
--- a/cactusford/link/link.cc
+++ b/cactusford/link/link.cc
@@ -24,6 +24,8 @@
 using tcp = asio::ip::tcp;
 using steady = std::chrono::steady_clock;
 
+// Each message is preceded by its length and the sender's hybrid logical clock,
+// both in little-endian byte order.
 constexpr std::size_t length_size = 4;
 constexpr std::size_t clock_size = 8;
 constexpr std::size_t header_size = length_size + clock_size;
@@ -52,7 +54,7 @@
 };
 
 void
-put_number(std::string& out, std::uint64_t value, std::size_t bytes)
+append_little_endian(std::string& out, std::uint64_t value, std::size_t bytes)
 {
   for (std::size_t i = 0; i < bytes; ++i) {
     out += static_cast<char>((value >> (8 * i)) & 0xff);
@@ -60,7 +62,7 @@
 }
 
 std::uint64_t
-get_number(const char* data, std::size_t bytes)
+read_little_endian(const char* data, std::size_t bytes)
 {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < bytes; ++i) {
@@ -70,7 +72,7 @@
 }
 
 nghttp2_nv
-header(std::string_view name, std::string_view value)
+make_header(std::string_view name, std::string_view value)
 {
   nghttp2_nv nv{};
   nv.name = reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data()));
@@ -150,18 +152,18 @@
 
   std::int32_t id = -1;
   bool closed = false;
-  bool remote_finished = false;
-  // Set while nghttp2 waits for more data of this stream.
-  bool deferred = false;
+  bool is_remote_finished = false;
+  // True while nghttp2 waits for more data to send on this stream.
+  bool is_deferred = false;
 
 private:
-  void wake();
+  void resume_sending();
 
   std::weak_ptr<connection> connection_;
   std::string path_;
-  std::string in_;
-  std::string out_;
-  std::size_t out_read_ = 0;
+  std::string input_;
+  std::string output_;
+  std::size_t output_read_ = 0;
   bool finished_ = false;
 };
 
@@ -187,17 +189,21 @@
   connection& operator=(const connection&) = delete;
 
   void start();
-  void dial(const address& peer);
+  void connect(const address& peer);
   void attach(const impl_ptr& s);
   void reset(std::int32_t id);
   void resume(std::int32_t id);
   void close(std::error_code ec);
-  // Lets the present streams end and then closes.
-  void retire();
+  // Refuses new streams and closes the connection when the open ones have
+  // ended.
+  void drain();
   bool is_closed() const { return closed_; }
-  bool is_retiring() const { return retiring_; }
-  std::size_t stream_count() const { return streams_.size() + waiting_.size(); }
-  const limits& bounds() const { return limits_; }
+  bool is_draining() const { return draining_; }
+  std::size_t stream_count() const
+  {
+    return streams_.size() + pending_streams_.size();
+  }
+  const limits& configured_limits() const { return limits_; }
 
   tcp::socket socket;
   accept_handler on_stream;
@@ -207,18 +213,18 @@
   void submit(const impl_ptr& s);
   void setup_session();
   void read();
-  void flush_soon();
+  void schedule_flush();
   void flush();
-  void end_if_retired();
+  void shutdown_if_drained();
   void tick();
-  bool is_silent() const;
+  bool is_unresponsive() const;
   bool is_idle();
   impl_ptr find(std::int32_t id) const;
   void remove(std::int32_t id, std::error_code ec);
 
-  static connection& self(void* user)
+  static connection& from_user_data(void* user_data)
   {
-    return *static_cast<connection*>(user);
+    return *static_cast<connection*>(user_data);
   }
   static int on_header(nghttp2_session*,
                        const nghttp2_frame*,
@@ -252,15 +258,15 @@
   bool is_server_;
   bool connected_ = false;
   bool closed_ = false;
-  bool retiring_ = false;
+  bool draining_ = false;
   bool writing_ = false;
   bool flush_posted_ = false;
   nghttp2_session* session_ = nullptr;
   std::unordered_map<std::int32_t, impl_ptr> streams_;
-  std::vector<impl_ptr> waiting_;
+  std::vector<impl_ptr> pending_streams_;
   std::array<std::uint8_t, read_size> read_buffer_{};
   std::string write_buffer_;
-  steady::time_point last_heard_ = steady::now();
+  steady::time_point last_received_ = steady::now();
   steady::time_point last_used_ = steady::now();
 };
 
@@ -271,17 +277,19 @@
   if (closed || finished_ || !c) {
     return;
   }
-  if (out_.size() - out_read_ + message.size() > c->bounds().max_buffered) {
-    // A peer that reads too slowly would otherwise hold our memory without
-    // bound. The stream ends with a typed error, never with a short answer.
+  if (output_.size() - output_read_ + message.size() >
+      c->configured_limits().max_buffered) {
+    // Otherwise a peer that reads too slowly would make the buffer grow without
+    // limit. The stream ends with an error, never with a truncated message.
     c->reset(id);
     close(link_error::slow_peer);
     return;
   }
-  put_number(out_, message.size(), length_size);
-  put_number(out_, timeline::pack(timeline::process_clock().now()), clock_size);
-  out_ += message;
-  wake();
+  append_little_endian(output_, message.size(), length_size);
+  append_little_endian(
+    output_, timeline::pack(timeline::process_clock().now()), clock_size);
+  output_ += message;
+  resume_sending();
 }
 
 void
@@ -289,7 +297,7 @@
 {
   if (!finished_) {
     finished_ = true;
-    wake();
+    resume_sending();
   }
 }
 
@@ -306,7 +314,7 @@
 }
 
 void
-stream_impl::wake()
+stream_impl::resume_sending()
 {
   const auto c = connection_.lock();
   if (c && id >= 0 && !closed) {
@@ -317,19 +325,19 @@
 ssize_t
 stream_impl::read(std::uint8_t* buffer, std::size_t size, std::uint32_t* flags)
 {
-  const auto n = std::min(size, out_.size() - out_read_);
-  std::memcpy(buffer, out_.data() + out_read_, n);
-  out_read_ += n;
-  if (out_read_ == out_.size()) {
-    out_.clear();
-    out_read_ = 0;
+  const auto n = std::min(size, output_.size() - output_read_);
+  std::memcpy(buffer, output_.data() + output_read_, n);
+  output_read_ += n;
+  if (output_read_ == output_.size()) {
+    output_.clear();
+    output_read_ = 0;
     if (finished_) {
       *flags |= NGHTTP2_DATA_FLAG_EOF;
       return static_cast<ssize_t>(n);
     }
   }
   if (n == 0) {
-    deferred = true;
+    is_deferred = true;
     return NGHTTP2_ERR_DEFERRED;
   }
   return static_cast<ssize_t>(n);
@@ -340,29 +348,30 @@
                      std::size_t size,
                      const limits& l)
 {
-  in_.append(reinterpret_cast<const char*>(data), size);
+  input_.append(reinterpret_cast<const char*>(data), size);
   std::size_t at = 0;
   const auto keep = shared_from_this();
-  while (in_.size() - at >= header_size) {
-    const auto length = get_number(in_.data() + at, length_size);
+  while (input_.size() - at >= header_size) {
+    const auto length = read_little_endian(input_.data() + at, length_size);
     if (length > l.max_message) {
       return false;
     }
-    if (in_.size() - at - header_size < length) {
+    if (input_.size() - at - header_size < length) {
       break;
     }
-    const auto stamp = get_number(in_.data() + at + length_size, clock_size);
-    timeline::process_clock().observe(timeline::unpack(stamp));
+    const auto timestamp =
+      read_little_endian(input_.data() + at + length_size, clock_size);
+    timeline::process_clock().observe(timeline::unpack(timestamp));
     const std::string message =
-      in_.substr(at + header_size, static_cast<std::size_t>(length));
+      input_.substr(at + header_size, static_cast<std::size_t>(length));
     at += header_size + length;
     if (on_message) {
-      // A copy, since the handler may replace or clear itself.
+      // Copied, because the handler may replace or clear `on_message`.
       const auto handler = on_message;
       handler(message);
     }
   }
-  in_.erase(0, at);
+  input_.erase(0, at);
   return true;
 }
 
@@ -373,8 +382,8 @@
     return;
   }
   closed = true;
-  if (!ec && !in_.empty()) {
-    ec = link_error::cut;
+  if (!ec && !input_.empty()) {
+    ec = link_error::closed_early;
   }
   const auto keep = shared_from_this();
   const auto handler = std::move(on_close);
@@ -419,33 +428,33 @@
   socket.set_option(tcp::no_delay{ true }, ignored);
   connected_ = true;
   setup_session();
-  last_heard_ = steady::now();
+  last_received_ = steady::now();
   read();
-  for (auto& s : std::exchange(waiting_, {})) {
+  for (auto& s : std::exchange(pending_streams_, {})) {
     submit(s);
   }
   tick();
-  flush_soon();
+  schedule_flush();
 }
 
 void
-connection::dial(const address& peer)
+connection::connect(const address& peer)
 {
   asio::error_code ec;
   const auto ip = asio::ip::make_address(peer.ip, ec);
   if (ec) {
-    asio::post(socket.get_executor(), [me = shared_from_this()] {
-      me->close(link_error::not_connected);
+    asio::post(socket.get_executor(), [self = shared_from_this()] {
+      self->close(link_error::not_connected);
     });
     return;
   }
   tick();
   socket.async_connect({ ip, peer.port },
-                       [me = shared_from_this()](asio::error_code failed) {
-                         if (failed || me->closed_) {
-                           me->close(link_error::not_connected);
+                       [self = shared_from_this()](asio::error_code failed) {
+                         if (failed || self->closed_) {
+                           self->close(link_error::not_connected);
                          } else {
-                           me->start();
+                           self->start();
                          }
                        });
 }
@@ -455,9 +464,9 @@
 {
   if (connected_) {
     submit(s);
-    flush_soon();
+    schedule_flush();
   } else {
-    waiting_.push_back(s);
+    pending_streams_.push_back(s);
   }
 }
 
@@ -468,10 +477,10 @@
     return;
   }
   const std::array headers{
-    header(":method", "POST"),
-    header(":scheme", "http"),
-    header(":authority", "cactusford"),
-    header(":path", s->path()),
+    make_header(":method", "POST"),
+    make_header(":scheme", "http"),
+    make_header(":authority", "cactusford"),
+    make_header(":path", s->path()),
   };
   nghttp2_data_provider provider{};
   provider.source.ptr = nullptr;
@@ -502,8 +511,8 @@
   }
   streams_.erase(id);
   s->close(ec);
-  if (retiring_ && streams_.empty()) {
-    flush_soon();
+  if (draining_ && streams_.empty()) {
+    schedule_flush();
   }
 }
 
@@ -512,7 +521,7 @@
 {
   if (session_ != nullptr && id >= 0 && !closed_) {
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, id, NGHTTP2_CANCEL);
-    flush_soon();
+    schedule_flush();
   }
 }
 
@@ -520,11 +529,11 @@
 connection::resume(std::int32_t id)
 {
   const auto s = find(id);
-  if (s && s->deferred && session_ != nullptr) {
-    s->deferred = false;
+  if (s && s->is_deferred && session_ != nullptr) {
+    s->is_deferred = false;
     nghttp2_session_resume_data(session_, id);
   }
-  flush_soon();
+  schedule_flush();
 }
 
 void
@@ -532,34 +541,34 @@
 {
   socket.async_read_some(
     asio::buffer(read_buffer_),
-    [me = shared_from_this()](asio::error_code ec, std::size_t n) {
-      if (ec || me->closed_) {
-        me->close(link_error::cut);
+    [self = shared_from_this()](asio::error_code ec, std::size_t n) {
+      if (ec || self->closed_) {
+        self->close(link_error::closed_early);
         return;
       }
-      me->last_heard_ = steady::now();
+      self->last_received_ = steady::now();
       received_bytes += n;
       const auto used =
-        nghttp2_session_mem_recv(me->session_, me->read_buffer_.data(), n);
+        nghttp2_session_mem_recv(self->session_, self->read_buffer_.data(), n);
       if (used < 0) {
-        me->close(link_error::protocol);
+        self->close(link_error::protocol);
         return;
       }
-      me->flush_soon();
-      me->read();
+      self->schedule_flush();
+      self->read();
     });
 }
 
 void
-connection::flush_soon()
+connection::schedule_flush()
 {
   if (flush_posted_ || closed_ || !connected_) {
     return;
   }
   flush_posted_ = true;
-  asio::post(socket.get_executor(), [me = shared_from_this()] {
-    me->flush_posted_ = false;
-    me->flush();
+  asio::post(socket.get_executor(), [self = shared_from_this()] {
+    self->flush_posted_ = false;
+    self->flush();
   });
 }
 
@@ -584,56 +593,57 @@
                          static_cast<std::size_t>(n));
   }
   if (write_buffer_.empty()) {
-    end_if_retired();
+    shutdown_if_drained();
     return;
   }
   writing_ = true;
   asio::async_write(
     socket,
     asio::buffer(write_buffer_),
-    [me = shared_from_this()](asio::error_code ec, std::size_t n) {
-      me->writing_ = false;
+    [self = shared_from_this()](asio::error_code ec, std::size_t n) {
+      self->writing_ = false;
       sent_bytes += n;
       if (ec) {
-        me->close(link_error::cut);
+        self->close(link_error::closed_early);
       } else {
-        me->flush();
+        self->flush();
       }
     });
 }
 
-// A peer that vanished without a FIN (a pulled cable, SIGSTOP) would hold its
-// streams open for ever. Pings make it heard from; silence closes.
+// Sends pings and closes the connection if nothing has been received for
+// `peer_timeout_ms`. Otherwise the streams of a peer that disappears without a
+// FIN (an unplugged cable, SIGSTOP) would stay open forever.
 void
 connection::tick()
 {
   timer_.expires_after(std::chrono::milliseconds{
     connected_ ? limits_.ping_interval_ms : limits_.connect_timeout_ms });
-  timer_.async_wait([me = shared_from_this()](asio::error_code ec) {
-    if (ec || me->closed_) {
+  timer_.async_wait([self = shared_from_this()](asio::error_code ec) {
+    if (ec || self->closed_) {
       return;
     }
-    if (!me->connected_) {
-      me->close(link_error::not_connected);
-    } else if (me->is_silent() || me->is_idle()) {
-      me->close(link_error::cut);
+    if (!self->connected_) {
+      self->close(link_error::not_connected);
+    } else if (self->is_unresponsive() || self->is_idle()) {
+      self->close(link_error::closed_early);
     } else {
-      nghttp2_submit_ping(me->session_, NGHTTP2_FLAG_NONE, nullptr);
-      me->flush_soon();
-      me->tick();
+      nghttp2_submit_ping(self->session_, NGHTTP2_FLAG_NONE, nullptr);
+      self->schedule_flush();
+      self->tick();
     }
   });
 }
 
 bool
-connection::is_silent() const
+connection::is_unresponsive() const
 {
-  return steady::now() - last_heard_ >
-         std::chrono::milliseconds{ limits_.dead_after_ms };
+  return steady::now() - last_received_ >
+         std::chrono::milliseconds{ limits_.peer_timeout_ms };
 }
 
-// One question to each of many peers would otherwise leave a full mesh of
-// connections, whose pings grow with the fleet.
+// Idle outgoing connections are closed. Otherwise single requests to many peers
+// would leave a full mesh of connections, whose pings grow with the fleet.
 bool
 connection::is_idle()
 {
@@ -642,33 +652,34 @@
     return false;
   }
   return steady::now() - last_used_ >
-         std::chrono::milliseconds{ limits_.idle_after_ms };
+         std::chrono::milliseconds{ limits_.idle_timeout_ms };
 }
 
-// GOAWAY names the last stream that this side takes, so a request that
-// crosses it on the wire ends as "not connected" at the peer: it never ran.
+// GOAWAY contains the id of the last stream that this side processes. A request
+// that was sent before the peer receives it ends there as not_connected,
+// because it was never run.
 void
-connection::retire()
+connection::drain()
 {
-  if (retiring_ || !connected_ || closed_) {
+  if (draining_ || !connected_ || closed_) {
     return;
   }
-  retiring_ = true;
+  draining_ = true;
   nghttp2_submit_goaway(session_,
                         NGHTTP2_FLAG_NONE,
                         nghttp2_session_get_last_proc_stream_id(session_),
                         NGHTTP2_NO_ERROR,
                         nullptr,
                         0);
-  flush_soon();
+  schedule_flush();
 }
 
-// Only the sending half is closed: closing with unread bytes would send a
-// reset, and the peer could lose the GOAWAY that is still on its way.
+// Closes only the sending direction. Closing the socket with unread input would
+// send a reset, and the peer could lose a GOAWAY in transit.
 void
-connection::end_if_retired()
+connection::shutdown_if_drained()
 {
-  if (retiring_ && streams_.empty() && waiting_.empty()) {
+  if (draining_ && streams_.empty() && pending_streams_.empty()) {
     asio::error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
   }
@@ -681,11 +692,11 @@
     return;
   }
   closed_ = true;
-  const auto me = shared_from_this();
+  const auto self = shared_from_this();
   asio::error_code ignored;
   socket.close(ignored);
   timer_.cancel();
-  for (auto& s : std::exchange(waiting_, {})) {
+  for (auto& s : std::exchange(pending_streams_, {})) {
     s->close(link_error::not_connected);
   }
   for (auto& [id, s] : std::exchange(streams_, {})) {
@@ -704,51 +715,51 @@
                       const std::uint8_t* value,
                       std::size_t value_size,
                       std::uint8_t,
-                      void* user)
+                      void* user_data)
 {
-  auto& me = self(user);
+  auto& self = from_user_data(user_data);
   const std::string_view key{ reinterpret_cast<const char*>(name), name_size };
-  if (!me.is_server_ || key != ":path" || frame->hd.type != NGHTTP2_HEADERS) {
+  if (!self.is_server_ || key != ":path" || frame->hd.type != NGHTTP2_HEADERS) {
     return 0;
   }
   const auto id = frame->hd.stream_id;
   auto s = std::make_shared<stream_impl>(
-    me.weak_from_this(),
+    self.weak_from_this(),
     std::string{ reinterpret_cast<const char*>(value), value_size });
   s->id = id;
-  me.streams_[id] = s;
+  self.streams_[id] = s;
   return 0;
 }
 
 int
 connection::on_frame(nghttp2_session* session,
                      const nghttp2_frame* frame,
-                     void* user)
+                     void* user_data)
 {
-  auto& me = self(user);
+  auto& self = from_user_data(user_data);
   if (frame->hd.type == NGHTTP2_GOAWAY) {
-    me.retiring_ = true;
+    self.draining_ = true;
     return 0;
   }
   const auto id = frame->hd.stream_id;
-  const auto s = me.find(id);
+  const auto s = self.find(id);
   if (!s) {
     return 0;
   }
-  if (me.is_server_ && frame->hd.type == NGHTTP2_HEADERS) {
-    const std::array headers{ header(":status", "200") };
+  if (self.is_server_ && frame->hd.type == NGHTTP2_HEADERS) {
+    const std::array headers{ make_header(":status", "200") };
     nghttp2_data_provider provider{};
     provider.source.ptr = nullptr;
     provider.read_callback = read_stream;
     nghttp2_submit_response(
       session, id, headers.data(), headers.size(), &provider);
-    if (me.on_stream) {
-      me.on_stream(s);
+    if (self.on_stream) {
+      self.on_stream(s);
     }
   }
   if ((frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0) {
-    s->remote_finished = true;
-    if (!me.is_server_) {
+    s->is_remote_finished = true;
+    if (!self.is_server_) {
       s->finish();
       s->close({});
     }
@@ -762,11 +773,11 @@
                     std::int32_t id,
                     const std::uint8_t* data,
                     std::size_t size,
-                    void* user)
+                    void* user_data)
 {
-  auto& me = self(user);
-  const auto s = me.find(id);
-  if (s && !s->receive(data, size, me.limits_)) {
+  auto& self = from_user_data(user_data);
+  const auto s = self.find(id);
+  if (s && !s->receive(data, size, self.limits_)) {
     nghttp2_submit_rst_stream(
       session, NGHTTP2_FLAG_NONE, id, NGHTTP2_PROTOCOL_ERROR);
     s->close(link_error::protocol);
@@ -778,16 +789,16 @@
 connection::on_stream_close(nghttp2_session*,
                             std::int32_t id,
                             std::uint32_t code,
-                            void* user)
+                            void* user_data)
 {
-  auto& me = self(user);
-  const auto s = me.find(id);
-  const bool clean = s && code == NGHTTP2_NO_ERROR && s->remote_finished;
+  auto& self = from_user_data(user_data);
+  const auto s = self.find(id);
+  const bool clean = s && code == NGHTTP2_NO_ERROR && s->is_remote_finished;
   const bool refused = code == NGHTTP2_REFUSED_STREAM;
-  me.remove(id,
-            clean     ? std::error_code{}
-            : refused ? link_error::not_connected
-                      : make_error_code(link_error::cut));
+  self.remove(id,
+              clean     ? std::error_code{}
+              : refused ? link_error::not_connected
+                        : make_error_code(link_error::closed_early));
   return 0;
 }
 
@@ -798,9 +809,9 @@
                         std::size_t size,
                         std::uint32_t* flags,
                         nghttp2_data_source*,
-                        void* user)
+                        void* user_data)
 {
-  const auto s = self(user).find(id);
+  const auto s = from_user_data(user_data).find(id);
   if (!s) {
     *flags |= NGHTTP2_DATA_FLAG_EOF;
     return 0;
@@ -810,7 +821,7 @@
 
 class endpoint_impl : public std::enable_shared_from_this<endpoint_impl>
 {
-  using dialed_map = std::map<address, std::shared_ptr<connection>>;
+  using outgoing_map = std::map<address, std::shared_ptr<connection>>;
 
 public:
   endpoint_impl(asio::io_context& io, limits l)
@@ -850,17 +861,19 @@
 
   stream_ptr open(const address& peer, const std::string& path)
   {
-    auto& c = dialed_[peer];
-    if (!c || c->is_closed() || c->is_retiring()) {
+    auto& c = outgoing_[peer];
+    if (!c || c->is_closed() || c->is_draining()) {
       c = std::make_shared<connection>(io_, limits_, false);
       c->on_closed = [weak = weak_from_this(), peer](connection* raw) {
-        const auto me = weak.lock();
-        const auto found = me ? me->dialed_.find(peer) : dialed_map::iterator{};
-        if (me && found != me->dialed_.end() && found->second.get() == raw) {
-          me->dialed_.erase(found);
+        const auto self = weak.lock();
+        const auto found =
+          self ? self->outgoing_.find(peer) : outgoing_map::iterator{};
+        if (self && found != self->outgoing_.end() &&
+            found->second.get() == raw) {
+          self->outgoing_.erase(found);
         }
       };
-      c->dial(peer);
+      c->connect(peer);
     }
     auto s = std::make_shared<stream_impl>(c, path);
     c->attach(s);
@@ -872,7 +885,7 @@
     asio::error_code ignored;
     acceptor_.close(ignored);
     for (const auto& [raw, c] : accepted_) {
-      c->retire();
+      c->drain();
     }
   }
 
@@ -881,39 +894,44 @@
     asio::error_code ignored;
     acceptor_.close(ignored);
     for (auto& [raw, c] : std::exchange(accepted_, {})) {
-      c->close(link_error::cut);
+      c->close(link_error::closed_early);
     }
-    for (auto& [peer, c] : std::exchange(dialed_, {})) {
-      c->close(link_error::cut);
+    for (auto& [peer, c] : std::exchange(outgoing_, {})) {
+      c->close(link_error::closed_early);
     }
   }
 
-  std::size_t connections() const { return accepted_.size() + dialed_.size(); }
+  std::size_t connections() const
+  {
+    return accepted_.size() + outgoing_.size();
+  }
 
 private:
   void accept()
   {
     auto c = std::make_shared<connection>(io_, limits_, true);
     acceptor_.async_accept(
-      c->socket, [me = shared_from_this(), c](asio::error_code ec) {
-        if (ec == asio::error::operation_aborted || !me->acceptor_.is_open()) {
+      c->socket, [self = shared_from_this(), c](asio::error_code ec) {
+        if (ec == asio::error::operation_aborted ||
+            !self->acceptor_.is_open()) {
           return;
         }
-        // Beyond the bound a peer is closed at once: its requests never left.
-        if (!ec && me->accepted_.size() < me->limits_.max_connections) {
-          me->take(c);
+        // Beyond the limit a connection is closed at once, so none of its
+        // requests runs.
+        if (!ec && self->accepted_.size() < self->limits_.max_connections) {
+          self->add_accepted(c);
         }
-        me->accept();
+        self->accept();
       });
   }
 
-  void take(const std::shared_ptr<connection>& c)
+  void add_accepted(const std::shared_ptr<connection>& c)
   {
     accepted_[c.get()] = c;
     c->on_stream = handler_;
     c->on_closed = [weak = weak_from_this()](connection* raw) {
-      if (const auto me = weak.lock()) {
-        me->accepted_.erase(raw);
+      if (const auto self = weak.lock()) {
+        self->accepted_.erase(raw);
       }
     };
     c->start();
@@ -923,7 +941,7 @@
   limits limits_;
   tcp::acceptor acceptor_;
   accept_handler handler_;
-  dialed_map dialed_;
+  outgoing_map outgoing_;
   std::unordered_map<connection*, std::shared_ptr<connection>> accepted_;
 };
 
--- a/cactusford/link/link.h
+++ b/cactusford/link/link.h
@@ -1,5 +1,5 @@
-// Streams of messages between our processes: HTTP/2 (nghttp2) over Asio TCP.
-// All calls run on the thread of the io_context.
+// Message streams between processes of the project, over HTTP/2 (nghttp2) and
+// Asio TCP. All functions and callbacks run on the thread of the io_context.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,13 +16,13 @@
 enum class link_error
 {
   none = 0,
-  // The stream never left this process.
+  // Nothing of the stream was processed by the peer.
   not_connected,
-  // The connection or the stream ended early.
-  cut,
-  // The peer broke the framing or went over a limit.
+  // The connection or the stream ended before the peer finished it.
+  closed_early,
+  // The peer violated the framing or exceeded a limit.
   protocol,
-  // The peer reads too slowly; its buffer is full.
+  // The peer reads too slowly, and the buffer for it is full.
   slow_peer,
 };
 
@@ -40,9 +40,9 @@
   std::uint32_t max_connections = 4096;
   std::uint32_t connect_timeout_ms = 1000;
   std::uint32_t ping_interval_ms = 1000;
-  std::uint32_t dead_after_ms = 3000;
-  // A dialed connection without streams is closed after this time.
-  std::uint32_t idle_after_ms = 5000;
+  std::uint32_t peer_timeout_ms = 3000;
+  // An outgoing connection without streams is closed after this time.
+  std::uint32_t idle_timeout_ms = 5000;
 };
 
 struct address
@@ -53,7 +53,7 @@
   friend auto operator<=>(const address&, const address&) = default;
 };
 
-// "ip:port"; an empty ip when the text is neither.
+// Parses "ip:port". Returns an empty ip if the text is malformed.
 address
 address_from(std::string_view text);
 
@@ -65,8 +65,9 @@
 class endpoint_impl;
 } // namespace detail
 
-// One stream. Messages arrive whole and in order, or the stream ends with an
-// error. `on_close` runs once: an empty code says that the peer finished.
+// A bidirectional stream of messages. Messages arrive complete and in order, or
+// the stream ends with an error. `on_close` runs once; an empty error code
+// means that the peer finished the stream.
 class stream : public std::enable_shared_from_this<stream>
 {
 public:
@@ -75,9 +76,9 @@
 
   virtual ~stream() = default;
   virtual void send(std::string_view message) = 0;
-  // No more messages from this side.
+  // Ends the stream in this direction. No more messages can be sent.
   virtual void finish() = 0;
-  // Ends the stream for both sides at once.
+  // Resets the stream in both directions. No callback follows.
   virtual void cancel() = 0;
   virtual const std::string& path() const = 0;
 };
@@ -85,7 +86,7 @@
 using stream_ptr = std::shared_ptr<stream>;
 using accept_handler = std::function<void(stream_ptr)>;
 
-// Bytes of all links of this process since its start.
+// Bytes transferred over all links of this process since it started.
 struct traffic
 {
   std::uint64_t sent = 0;
@@ -97,21 +98,24 @@
 traffic
 total_traffic() noexcept;
 
-// Listens, dials on demand, and keeps one connection for each peer.
+// Accepts connections, connects on demand and keeps one outgoing connection for
+// each peer.
 class endpoint
 {
 public:
   endpoint(asio::io_context& io, limits l);
   ~endpoint();
 
-  // Port 0 lets the kernel choose; `bound` is what it chose.
+  // With port 0 the kernel chooses the port. `bound` receives the address in
+  // use.
   std::error_code listen(const address& local,
                          accept_handler handler,
                          address& bound);
 
   stream_ptr open(const address& peer, const std::string& path);
 
-  // Refuses new connections and closes those that have no stream.
+  // Refuses new connections and streams. Accepted connections close when their
+  // open streams have ended.
   void stop_listening();
 
   std::size_t connections() const;
--- a/cactusford/link/request.cc
+++ b/cactusford/link/request.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-struct pending
+struct pending_call
 {
-  explicit pending(asio::io_context& io)
+  explicit pending_call(asio::io_context& io)
     : timer{ io }
   {
   }
@@ -23,48 +23,48 @@
     }
     const auto handler = std::exchange(done, nullptr);
     timer.cancel();
-    if (s) {
-      s->cancel();
-      s = nullptr;
+    if (request_stream) {
+      request_stream->cancel();
+      request_stream = nullptr;
     }
     handler(std::move(r));
   }
 
   asio::steady_timer timer;
-  stream_ptr s;
+  stream_ptr request_stream;
   std::function<void(result<std::string>)> done;
 };
 
 } // namespace
 
 void
-ask(asio::io_context& io,
-    endpoint& links,
-    const address& peer,
-    const std::string& path,
-    const std::string& request,
-    std::uint32_t timeout_ms,
-    std::function<void(result<std::string>)> done)
+send_request(asio::io_context& io,
+             endpoint& links,
+             const address& peer,
+             const std::string& path,
+             const std::string& request,
+             std::uint32_t timeout_ms,
+             std::function<void(result<std::string>)> done)
 {
-  const auto p = std::make_shared<pending>(io);
-  p->done = std::move(done);
-  p->s = links.open(peer, path);
-  p->s->on_message = [p](std::string_view m) {
-    p->end({ std::string{ m }, {} });
+  const auto call = std::make_shared<pending_call>(io);
+  call->done = std::move(done);
+  call->request_stream = links.open(peer, path);
+  call->request_stream->on_message = [call](std::string_view m) {
+    call->end({ std::string{ m }, {} });
   };
-  p->s->on_close = [p](std::error_code ec) {
-    const bool never_left = ec == link_error::not_connected;
-    p->end(
+  call->request_stream->on_close = [call](std::error_code ec) {
+    const bool is_not_sent = ec == link_error::not_connected;
+    call->end(
       { {},
-        { never_left ? error_kind::no_backend : error_kind::outcome_unknown,
+        { is_not_sent ? error_kind::no_backend : error_kind::outcome_unknown,
           ec.message() } });
   };
-  p->s->send(request);
-  p->s->finish();
-  p->timer.expires_after(std::chrono::milliseconds{ timeout_ms });
-  p->timer.async_wait([p](asio::error_code ec) {
+  call->request_stream->send(request);
+  call->request_stream->finish();
+  call->timer.expires_after(std::chrono::milliseconds{ timeout_ms });
+  call->timer.async_wait([call](asio::error_code ec) {
     if (!ec) {
-      p->end({ {}, { error_kind::outcome_unknown, "no reply in time" } });
+      call->end({ {}, { error_kind::outcome_unknown, "no reply in time" } });
     }
   });
 }
--- a/cactusford/link/request.h
+++ b/cactusford/link/request.h
@@ -1,4 +1,4 @@
-// One request and one reply over a stream.
+// Sends a single request and a single reply over a stream.
 #pragma once
 
 #include "cactusford/error.h"
@@ -11,18 +11,19 @@
 
 namespace cactusford::link {
 
-// `done` runs once on the io thread: with the reply, or with no_backend (the
-// request never left), or outcome_unknown.
+// Sends a request and waits for the reply. `done` runs once, on the thread of
+// `io`, with the reply or an error: no_backend if the request was not sent,
+// outcome_unknown otherwise.
 void
-ask(asio::io_context& io,
-    endpoint& links,
-    const address& peer,
-    const std::string& path,
-    const std::string& request,
-    std::uint32_t timeout_ms,
-    std::function<void(result<std::string>)> done);
+send_request(asio::io_context& io,
+             endpoint& links,
+             const address& peer,
+             const std::string& path,
+             const std::string& request,
+             std::uint32_t timeout_ms,
+             std::function<void(result<std::string>)> done);
 
-// Sends the one reply on a stream that was accepted, and ends it.
+// Sends the reply on an accepted stream and finishes the stream.
 void
 reply(stream& s, std::string_view message);
 
--- a/cactusford/platform/client.cc
+++ b/cactusford/platform/client.cc
@@ -52,27 +52,29 @@
   int port = 0;
   std::uint32_t timeout_ms = 0;
   std::atomic<std::uint64_t> calls{ 0 };
-  // Highest version seen of each object that this client read by name.
+  // Highest version of each object that this client has read by name.
   std::mutex mutex;
-  std::map<std::string, std::uint64_t> seen;
+  std::map<std::string, std::uint64_t> newest_versions;
 
   std::unique_ptr<httplib::Client> connect(std::uint32_t extra_ms) const
   {
     auto c = std::make_unique<httplib::Client>(ip, port);
-    const auto limit = std::chrono::milliseconds{ timeout_ms + extra_ms };
+    const auto read_timeout =
+      std::chrono::milliseconds{ timeout_ms + extra_ms };
     c->set_connection_timeout(std::chrono::milliseconds{ timeout_ms });
-    c->set_read_timeout(limit);
-    c->set_write_timeout(limit);
+    c->set_read_timeout(read_timeout);
+    c->set_write_timeout(read_timeout);
     c->set_tcp_nodelay(true);
     return c;
   }
 
-  // A replica of the store that lags would hand out an older version. Taking
-  // it would revert a configuration; the read fails instead.
+  // Returns true if the object is older than one read before. A lagging replica
+  // of the store can return an older version, which would revert the
+  // configuration, so the read fails instead.
   bool is_stale(const object& o)
   {
     const std::lock_guard lock{ mutex };
-    auto& newest = seen[o.kind + "/" + o.name];
+    auto& newest = newest_versions[o.kind + "/" + o.name];
     if (o.version < newest) {
       return true;
     }
@@ -96,14 +98,14 @@
 client::get(const std::string& kind, const std::string& name)
 {
   ++state_->calls;
-  const auto answer = state_->connect(0)->Get(path_of(kind, name));
-  if (!answer || (answer->status != ok && answer->status != not_found)) {
+  const auto response = state_->connect(0)->Get(path_of(kind, name));
+  if (!response || (response->status != ok && response->status != not_found)) {
     return { {}, unavailable("get " + kind + "/" + name) };
   }
-  if (answer->status == not_found) {
+  if (response->status == not_found) {
     return { {}, { error_kind::not_found, kind + "/" + name } };
   }
-  const auto body = json::parse(answer->body, nullptr, false);
+  const auto body = json::parse(response->body, nullptr, false);
   if (body.is_discarded()) {
     return { {}, unavailable("the answer is not JSON") };
   }
@@ -125,12 +127,12 @@
   const auto path = "/v1/changes?since=" + std::to_string(since) +
                     "&wait_ms=" + std::to_string(wait_ms) +
                     "&exclude=lease,ledger";
-  const auto answer =
+  const auto response =
     state_->connect(wait_ms + (wait_ms > 0 ? watch_margin_ms : 0))->Get(path);
-  if (!answer || answer->status != ok) {
+  if (!response || response->status != ok) {
     return { {}, unavailable("changes") };
   }
-  const auto body = json::parse(answer->body, nullptr, false);
+  const auto body = json::parse(response->body, nullptr, false);
   if (body.is_discarded()) {
     return { {}, unavailable("the answer is not JSON") };
   }
@@ -156,23 +158,24 @@
                    { "spec", w.spec },
                    { "request_id", w.request_id },
                    { "deleted", w.remove } };
-  const auto answer = state_->connect(0)->Put(
+  const auto response = state_->connect(0)->Put(
     path_of(w.kind, w.name), body.dump(), "application/json");
-  if (answer && answer->status == ok) {
-    const auto reply = json::parse(answer->body, nullptr, false);
+  if (response && response->status == ok) {
+    const auto reply = json::parse(response->body, nullptr, false);
     return { reply.at("version").get<std::uint64_t>(), {} };
   }
-  // The write may have taken effect although its answer was lost, and a
-  // repeat then meets its own earlier write as a conflict. The request id in
-  // the object tells the two apart.
-  const bool refused = answer && answer->status == conflict;
-  const auto now = get(w.kind, w.name);
-  if (now && now.value.request_id == w.request_id) {
-    return { now.value.version, {} };
+  // The write may have been applied although its response was lost, and a retry
+  // then conflicts with its own earlier write. The request id in the object
+  // distinguishes this from a conflict with another writer.
+  const bool is_conflict = response && response->status == conflict;
+  const auto current = get(w.kind, w.name);
+  if (current && current.value.request_id == w.request_id) {
+    return { current.value.version, {} };
   }
-  if (refused) {
-    const auto newer = now ? std::to_string(now.value.version) : "unknown";
-    return { now.value.version,
+  if (is_conflict) {
+    const auto newer =
+      current ? std::to_string(current.value.version) : "unknown";
+    return { current.value.version,
              { error_kind::conflict,
                w.kind + "/" + w.name + " is at version " + newer +
                  ", expected " + std::to_string(w.expected_version) } };
--- a/cactusford/platform/client.h
+++ b/cactusford/platform/client.h
@@ -1,5 +1,5 @@
-// Client of the platform's object API. Calls block: run them on a worker
-// thread. Protocol: docs/PLATFORM.md.
+// Blocking client of the platform's object API, to be used on a worker thread.
+// docs/PLATFORM.md describes the protocol.
 #pragma once
 
 #include "cactusford/error.h"
@@ -14,15 +14,15 @@
 
 namespace cactusford::platform {
 
-// One object at one version. Versions grow over the whole store, so two
-// versions of any two objects can be compared.
+// An object at one version. Versions increase across the whole store, so
+// versions of different objects can be compared.
 struct object
 {
   std::string kind;
   std::string name;
   std::uint64_t version = 0;
   bool deleted = false;
-  // JSON text.
+  // Specification as JSON text.
   std::string spec;
   // Id of the request that wrote this version.
   std::string request_id;
@@ -32,7 +32,7 @@
 
 struct change_list
 {
-  // Every object with a version up to this one is known.
+  // All changes up to this version are included.
   std::uint64_t revision = 0;
   std::vector<object> objects;
 };
@@ -41,7 +41,7 @@
 {
   std::string kind;
   std::string name;
-  // 0 creates.
+  // 0 creates the object.
   std::uint64_t expected_version = 0;
   std::string spec;
   std::string request_id;
@@ -57,17 +57,17 @@
 
   result<object> get(const std::string& kind, const std::string& name);
 
-  // All objects, tombstones included, newer than `since`, without leases and
-  // ledgers, which only their owners read. With `wait_ms` the call waits for a
-  // change (a watch).
+  // Returns all objects newer than `since`, including tombstones but without
+  // leases and ledgers, which only their owners read. If `wait_ms` is not 0,
+  // waits up to that time for a change (a watch).
   result<change_list> changes(std::uint64_t since, std::uint32_t wait_ms);
 
-  // Conditional write. A lost answer is resolved by reading back: the object
-  // names the request that wrote it. Errors: conflict (with the newer
-  // version), platform_unavailable (it may still take effect).
+  // Writes conditionally. If the response is lost, reads the object to find out
+  // whether this request wrote it. Errors: conflict (with the newer version),
+  // platform_unavailable (the write may still be applied).
   result<std::uint64_t> put(const write& w);
 
-  // Calls made so far.
+  // Number of requests made so far.
   std::uint64_t calls() const;
 
 private:
--- a/cactusford/process/daemon.cc
+++ b/cactusford/process/daemon.cc
@@ -75,25 +75,26 @@
   admin_ = std::make_unique<admin>();
   auto& server = admin_->server;
   server.new_task_queue = [] { return new httplib::ThreadPool(2); };
-  server.Get("/metrics", [this](const auto&, auto& answer) {
+  server.Get("/metrics", [this](const auto&, auto& response) {
     const auto bytes = link::total_traffic();
     metrics.set("link_sent_bytes", static_cast<double>(bytes.sent));
     metrics.set("link_received_bytes", static_cast<double>(bytes.received));
     metrics.set("platform_calls", static_cast<double>(platform.calls()));
-    answer.set_content(metrics.text(), "text/plain; version=0.0.4");
+    response.set_content(metrics.text(), "text/plain; version=0.0.4");
   });
-  server.Get("/healthz", [](const auto&, auto& answer) {
-    answer.set_content("ok\n", "text/plain");
+  server.Get("/healthz", [](const auto&, auto& response) {
+    response.set_content("ok\n", "text/plain");
   });
-  server.Get("/readyz", [this](const auto&, auto& answer) {
+  server.Get("/readyz", [this](const auto&, auto& response) {
     std::promise<bool> ready;
     asio::post(io, [&] {
       ready.set_value(configuration.is_ready() &&
                       (!is_serving || is_serving()));
     });
-    const bool yes = ready.get_future().get();
-    answer.status = yes ? 200 : 503;
-    answer.set_content(yes ? "ready\n" : "not_ready\n", "text/plain");
+    const bool is_ready_now = ready.get_future().get();
+    response.status = is_ready_now ? 200 : 503;
+    response.set_content(is_ready_now ? "ready\n" : "not_ready\n",
+                         "text/plain");
   });
   const auto local = link::address_from(settings.admin);
   const int port =
@@ -125,24 +126,25 @@
   if (settings.ports_file.empty()) {
     return;
   }
-  // Renamed into place, so that a reader never sees half of it.
+  // Written to a temporary file and renamed, so that a reader never sees a
+  // partial file.
   const auto part = settings.ports_file + ".part";
   std::ofstream{ part } << nlohmann::json(ports_).dump() << "\n";
   std::rename(part.c_str(), settings.ports_file.c_str());
 }
 
 void
-daemon::run(std::function<void()> on_leave)
+daemon::run(std::function<void()> on_shutdown)
 {
   asio::signal_set signals{ io, SIGTERM, SIGINT };
   signals.async_wait([&](asio::error_code ec, int) {
     if (!ec) {
       timeline::log(timeline::event{ "process_leaving" });
-      on_leave();
+      on_shutdown();
     }
   });
   write_ports();
-  const auto keep = asio::make_work_guard(io);
+  const auto work_guard = asio::make_work_guard(io);
   io.run();
   configuration.stop();
   workers.stop();
@@ -159,9 +161,9 @@
 void
 daemon::run_after(std::uint64_t delay_ms, std::function<void()> run)
 {
-  auto t = std::make_shared<asio::steady_timer>(
+  auto timer = std::make_shared<asio::steady_timer>(
     io, std::chrono::milliseconds{ delay_ms });
-  t->async_wait([t, run = std::move(run)](asio::error_code) { run(); });
+  timer->async_wait([timer, run = std::move(run)](asio::error_code) { run(); });
 }
 
 std::uint64_t
@@ -230,7 +232,7 @@
     std::cerr << poptBadOption(context, 0) << ": " << poptStrerror(rc)
               << "; see --help\n";
   } else if (path == nullptr) {
-    std::cerr << "--settings is missing; name the settings file\n";
+    std::cerr << "--settings is missing; specify the settings file\n";
   } else {
     exit_code = exit_ok;
   }
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -1,5 +1,6 @@
-// What every daemon has: one decision thread, workers for calls that block,
-// links, the platform, the configuration, metrics, and a graceful end.
+// Common base of all daemons: an event loop thread, worker threads for blocking
+// calls, links, the platform client, the configuration, metrics and graceful
+// shutdown.
 #pragma once
 
 #include "cactusford/configuration/relay.h"
@@ -30,20 +31,20 @@
   daemon(const settings::process_settings& s, std::size_t worker_count);
   ~daemon();
 
-  // Binds the link and the admin port. `on_stream` gets every stream but
-  // those of the configuration.
+  // Binds the link and the admin port. `on_stream` receives every accepted
+  // stream except those of the configuration.
   failure start(link::accept_handler on_stream);
 
-  // Names a further bound port in the ports file.
+  // Adds a bound port to the ports file.
   void add_port(const std::string& name, std::uint16_t port);
 
-  // Writes the ports file and runs until `stop`. `on_leave` runs once on
-  // SIGTERM or SIGINT and calls `stop` when all work has ended.
-  void run(std::function<void()> on_leave);
+  // Writes the ports file and runs until `stop` is called. `on_shutdown` runs
+  // once, on SIGTERM or SIGINT, and must call `stop` when all work has ended.
+  void run(std::function<void()> on_shutdown);
 
   void stop();
 
-  // Runs `task` on a worker and then `done` with its result on `io`.
+  // Runs `task` on a worker thread, then `done` with its result on `io`.
   template<typename Task, typename Done>
   void run_on_worker(Task task, Done done)
   {
@@ -54,10 +55,10 @@
     });
   }
 
-  // Runs `run` on `io` after the delay.
+  // Runs `run` on `io` after a delay.
   void run_after(std::uint64_t delay_ms, std::function<void()> run);
 
-  // Answers /readyz together with the configuration's readiness.
+  // Additional condition for /readyz besides a ready configuration. Optional.
   std::function<bool()> is_serving;
 
   const settings::process_settings settings;
@@ -78,8 +79,8 @@
   std::map<std::string, std::uint16_t> ports_;
 };
 
-// Reads the file named on the command line, or says on standard error what is
-// wrong. `parse` is one of the settings parsers.
+// Reads a settings file and parses it with `parse`, one of the settings
+// parsers.
 template<typename Settings>
 result<Settings>
 load_settings(const std::string& path,
@@ -92,20 +93,21 @@
   return parse(text.value);
 }
 
-// Milliseconds of a steady clock.
+// Current time of the steady clock in milliseconds.
 std::uint64_t
 steady_ms();
 
-// A fresh id: a UUID of version 7 (RFC 9562), so ids sort by time.
+// Generates a UUID of version 7 (RFC 9562), so that ids sort by time.
 std::string
 generate_id();
 
-// Milliseconds since 1970 in a UUID of version 7; 0 when it is not one.
+// Returns the time in a UUID of version 7, in milliseconds since 1970, or 0 if
+// the text is not such a UUID.
 std::uint64_t
 uuid_time_ms(std::string_view uuid);
 
-// Parses `--settings FILE`, and prints help or a one-line error. Returns the
-// path, or an empty string with `exit_code` set.
+// Parses the command line option `--settings FILE`. Returns the path, or prints
+// a one-line error, sets `exit_code` and returns an empty string.
 std::string
 parse_settings_path(int argc, char** argv, const char* about, int& exit_code);
 
--- a/cactusford/process/line_log.cc
+++ b/cactusford/process/line_log.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Lines gather this long before they are written: one system call for many.
+// Lines are buffered for this time, so that one system call writes many.
 constexpr std::uint64_t gather_ms = 200;
 
 struct sink
@@ -26,30 +26,30 @@
   asio::steady_timer timer;
   std::string process;
   log_limits limits;
-  std::string waiting;
+  std::string buffer;
   bool scheduled = false;
   std::uint64_t second = 0;
-  std::map<std::string, std::uint32_t> lines;
+  std::map<std::string, std::uint32_t> line_counts;
   std::uint64_t dropped = 0;
 };
 
 std::unique_ptr<sink>&
-the_sink()
+global_sink()
 {
   static std::unique_ptr<sink> instance;
   return instance;
 }
 
 std::string
-prefix_of(const sink& s)
+line_prefix(const sink& s)
 {
   return "hlc=" + timeline::to_string(timeline::process_clock().now()) +
          " process=" + s.process;
 }
 
-// " event=NAME ..." gives NAME.
+// Returns NAME of a text " event=NAME ...".
 std::string
-name_in(const std::string& text)
+event_name(const std::string& text)
 {
   const auto start = text.find('=') + 1;
   return text.substr(start, text.find(' ', start) - start);
@@ -58,19 +58,19 @@
 void
 append(sink& s, const std::string& text)
 {
-  if (s.waiting.size() + text.size() > s.limits.buffer_bytes) {
+  if (s.buffer.size() + text.size() > s.limits.buffer_bytes) {
     ++s.dropped;
     return;
   }
-  s.waiting += prefix_of(s);
-  s.waiting += text;
-  s.waiting += '\n';
+  s.buffer += line_prefix(s);
+  s.buffer += text;
+  s.buffer += '\n';
 }
 
 void
-end_second(sink& s)
+report_skipped_lines(sink& s)
 {
-  for (const auto& [name, count] : s.lines) {
+  for (const auto& [name, count] : s.line_counts) {
     if (count > s.limits.lines_per_second) {
       append(s,
              timeline::event{ "lines_left_out" }
@@ -84,11 +84,11 @@
     s.dropped = 0;
     append(s, timeline::event{ "lines_dropped" }.with("count", dropped).text());
   }
-  s.lines.clear();
+  s.line_counts.clear();
 }
 
 void
-schedule(sink& s)
+schedule_flush(sink& s)
 {
   if (s.scheduled) {
     return;
@@ -98,8 +98,8 @@
   s.timer.async_wait([&s](asio::error_code) {
     s.scheduled = false;
     flush_line_log();
-    if (!s.waiting.empty()) {
-      schedule(s);
+    if (!s.buffer.empty()) {
+      schedule_flush(s);
     }
   });
 }
@@ -115,7 +115,7 @@
   if (flags >= 0) {
     ::fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
   }
-  auto& s = the_sink();
+  auto& s = global_sink();
   s = std::make_unique<sink>(io);
   s->process = process;
   s->limits = limits;
@@ -124,7 +124,7 @@
 void
 log_line(const timeline::event& e)
 {
-  auto& instance = the_sink();
+  auto& instance = global_sink();
   if (!instance) {
     return;
   }
@@ -132,29 +132,29 @@
   constexpr std::uint64_t ms_per_second = 1000;
   const auto second = timeline::wall_ms() / ms_per_second;
   if (second != s.second) {
-    end_second(s);
+    report_skipped_lines(s);
     s.second = second;
   }
-  if (++s.lines[name_in(e.text())] <= s.limits.lines_per_second) {
+  if (++s.line_counts[event_name(e.text())] <= s.limits.lines_per_second) {
     append(s, e.text());
   }
-  schedule(s);
+  schedule_flush(s);
 }
 
 void
 flush_line_log()
 {
-  auto& s = the_sink();
+  auto& s = global_sink();
   if (!s) {
     return;
   }
-  while (!s->waiting.empty()) {
+  while (!s->buffer.empty()) {
     const auto written =
-      ::write(STDOUT_FILENO, s->waiting.data(), s->waiting.size());
+      ::write(STDOUT_FILENO, s->buffer.data(), s->buffer.size());
     if (written <= 0) {
       return;
     }
-    s->waiting.erase(0, static_cast<std::size_t>(written));
+    s->buffer.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/cactusford/process/line_log.h
+++ b/cactusford/process/line_log.h
@@ -1,4 +1,5 @@
-// Structured lines to standard output that never block and stay bounded.
+// Structured log to standard output. Writing never blocks, and the number of
+// lines and the memory for them are limited.
 #pragma once
 
 #include "cactusford/timeline/event.h"
@@ -10,17 +11,19 @@
 
 namespace cactusford::process {
 
-// Lines kept of one event name in a second; the rest are counted, and the
-// count is logged when the second ends.
+// Limits of the log.
 struct log_limits
 {
+  // Lines per event name and second. Further lines are skipped, and their
+  // number is logged after the second has ended.
   std::uint32_t lines_per_second = 40;
-  // Text that waits for a reader that does not read. More is dropped.
+  // Buffered text while standard output does not accept more. Lines that do not
+  // fit are dropped.
   std::size_t buffer_bytes = 256U << 10;
 };
 
-// Call it before the first line. Without it lines are dropped: tests of the
-// library print nothing.
+// Opens the log of this process. Lines logged before are discarded, so tests of
+// the library print nothing.
 void
 open_line_log(asio::io_context& io,
               const std::string& process,
@@ -29,7 +32,7 @@
 void
 log_line(const timeline::event& e);
 
-// Writes what waits, as far as the reader takes it.
+// Writes the buffered lines, as far as standard output accepts them.
 void
 flush_line_log();
 
--- a/cactusford/process/metrics.h
+++ b/cactusford/process/metrics.h
@@ -1,4 +1,4 @@
-// Metrics of a process, by prometheus-cpp.
+// Metrics of a process, collected with prometheus-cpp.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -11,7 +11,8 @@
 
 namespace cactusford::process {
 
-// Every metric with its help text stands in docs/METRICS.md.
+// Registry of counters, gauges and histograms. docs/METRICS.md describes every
+// metric.
 class metrics
 {
 public:
@@ -23,13 +24,13 @@
   void set(const std::string& name,
            double value,
            const std::map<std::string, std::string>& labels = {});
-  // Seconds, into buckets from 0.1 ms to 100 s.
+  // Records a duration in a histogram with buckets from 0.1 ms to 100 s.
   void observe(const std::string& name, double seconds);
 
-  // The text that /metrics answers.
+  // Returns the response of /metrics in the Prometheus text format.
   std::string text() const;
 
-  // Sums of a counter by the value of one label.
+  // Returns the sums of a counter grouped by the value of one label.
   std::map<std::string, std::uint64_t> totals(const std::string& name,
                                               const std::string& label) const;
 
--- a/cactusford/settings/settings.cc
+++ b/cactusford/settings/settings.cc
@@ -64,10 +64,10 @@
 std::string
 with_address_pattern(std::string text)
 {
-  constexpr std::string_view mark = "ADDRESS";
-  for (auto at = text.find(mark); at != std::string::npos;
-       at = text.find(mark, at)) {
-    text.replace(at, mark.size(), address_pattern);
+  constexpr std::string_view placeholder = "ADDRESS";
+  for (auto at = text.find(placeholder); at != std::string::npos;
+       at = text.find(placeholder, at)) {
+    text.replace(at, placeholder.size(), address_pattern);
     at += address_pattern.size();
   }
   return text;
@@ -94,8 +94,8 @@
   if (document.is_discarded()) {
     return { {}, { error_kind::settings_invalid, "the file is not JSON" } };
   }
-  if (auto wrong = validate(schema, document)) {
-    return { {}, wrong };
+  if (auto error = validate(schema, document)) {
+    return { {}, error };
   }
   return { std::move(document), {} };
 }
@@ -132,8 +132,8 @@
 std::string
 describe(const valijson::ValidationResults& results)
 {
-  // The validator reports from the root inwards: the deepest entry names the
-  // key, and the first one at that depth says what is wrong with it.
+  // The validator reports errors from the root inwards. The deepest error
+  // contains the key, and the first one at that depth the reason.
   valijson::ValidationResults copy = results;
   valijson::ValidationResults::Error found;
   valijson::ValidationResults::Error next;
@@ -155,9 +155,10 @@
 bool
 is_enabled(const entry_settings& s, std::string_view mechanism)
 {
-  const auto& off = s.disabled;
+  const auto& disabled = s.disabled;
   return s.policy != "baseline" &&
-         std::find(off.begin(), off.end(), mechanism) == off.end();
+         std::find(disabled.begin(), disabled.end(), mechanism) ==
+           disabled.end();
 }
 
 failure
--- a/cactusford/settings/settings.h
+++ b/cactusford/settings/settings.h
@@ -1,4 +1,4 @@
-// Settings of a process: JSON, checked against a schema before the start.
+// Settings of a process in JSON, validated against a schema at startup.
 #pragma once
 
 #include "cactusford/error.h"
@@ -24,7 +24,8 @@
   service,
 };
 
-// Times are milliseconds, addresses "ip:port"; port 0 lets the kernel choose.
+// Settings common to all processes. Times are in milliseconds. Addresses are
+// "ip:port"; with port 0 the kernel chooses the port.
 struct process_settings
 {
   std::string instance;
@@ -34,9 +35,10 @@
   std::string admin;
   std::string platform;
   std::string log;
-  // Written once with the bound addresses, as JSON.
+  // File to which the process writes its bound ports at startup, as JSON.
   std::string ports_file;
-  // Link addresses asked for the configuration while the platform is down.
+  // Link addresses of instances that provide the configuration while the
+  // platform is unavailable.
   std::vector<std::string> peers;
   std::uint32_t lease_ms = 10000;
   std::uint32_t max_clock_skew_ms = 2000;
@@ -80,11 +82,12 @@
                          const sidecar_settings&) = default;
 };
 
-// Whether the policy has a mechanism: prefix, resume or run_ahead.
+// Returns true if the policy uses a mechanism: prefix, resume or run_ahead.
 bool
 is_enabled(const entry_settings& s, std::string_view mechanism);
 
-// Errors name the key, what is wrong and the remedy.
+// Parses and validates settings. An error contains the key and the reason;
+// `message_of` adds the remedy.
 result<entry_settings>
 entry_settings_from(std::string_view json_text);
 
@@ -94,8 +97,8 @@
 result<std::string>
 read_file(const std::string& path);
 
-// Checks `document` against a JSON schema. The error names the first key that
-// does not fit.
+// Validates `document` against a JSON schema. The error contains the key that
+// violates the schema and the reason.
 failure
 validate(const nlohmann::json& schema, const nlohmann::json& document);
 
--- a/cactusford/testing/section.h
+++ b/cactusford/testing/section.h
@@ -1,5 +1,5 @@
-// Nested sections for Criterion's tests: each names itself in the output, so
-// that a run reads as a story.
+// Nested sections for Criterion tests. Each prints its name when it starts, so
+// that the output shows which part of a test ran.
 #pragma once
 
 #include <cstdio>
@@ -31,6 +31,6 @@
 
 } // namespace cactusford::testing
 
-// SECTION("what holds here") { ... }
+// Usage: SECTION("the behaviour that is checked") { ... }
 #define SECTION(name)                                                          \
   if (const ::cactusford::testing::section section_guard{ name }; section_guard)
