--- a/bench/micro/decisions.cc
+++ b/bench/micro/decisions.cc
@@ -109,7 +109,7 @@
   configuration::merge(s, fleet_objects(state.range(0)));
   while (state.KeepRunning()) {
     benchmark::DoNotOptimize(
-      configuration::place_of(*s.view->instances, "instance-5", "dc5"));
+      configuration::find_position(*s.view->instances, "instance-5", "dc5"));
   }
 }
 BENCHMARK(find_place)
--- a/cactusford/configuration/relay.cc
+++ b/cactusford/configuration/relay.cc
@@ -248,7 +248,7 @@
 
   void place_self()
   {
-    auto next = place_of(
+    auto next = find_position(
       *state_.view->instances, settings_.instance, settings_.data_centre);
     if (next == place_ && (place_.is_watcher || parent_)) {
       return;
--- a/cactusford/configuration/state-test.cc
+++ b/cactusford/configuration/state-test.cc
@@ -116,13 +116,13 @@
     for (const auto& [name, i] : fleet) {
       auto at = name;
       std::size_t hops = 0;
-      auto p = place_of(fleet, at, "dc");
+      auto p = find_position(fleet, at, "dc");
       watchers += p.is_watcher ? 1 : 0;
       while (!p.is_watcher) {
         cr_assert_lt(++hops, 5, "no way to a watcher from %s", name.c_str());
         cr_assert(!p.parents.empty());
         at = p.parents.front();
-        p = place_of(fleet, at, "dc");
+        p = find_position(fleet, at, "dc");
       }
     }
     cr_assert_eq(watchers, std::min(count, watchers_per_data_centre));
@@ -134,8 +134,8 @@
 Test(tree, an_unlisted_instance_reads_from_a_listed_one)
 {
   const auto fleet = fleet_of(12);
-  const auto p = place_of(fleet, "new", "dc");
+  const auto p = find_position(fleet, "new", "dc");
   cr_assert(!p.is_watcher);
   cr_assert(!p.parents.empty());
-  cr_assert(place_of({}, "new", "dc").is_watcher);
+  cr_assert(find_position({}, "new", "dc").is_watcher);
 }
--- a/cactusford/configuration/tree.cc
+++ b/cactusford/configuration/tree.cc
@@ -36,9 +36,9 @@
 } // namespace
 
 place
-place_of(const table<instance>& instances,
-         const std::string& self,
-         const std::string& data_centre)
+find_position(const table<instance>& instances,
+              const std::string& self,
+              const std::string& data_centre)
 {
   const auto ranked =
     membership::rank(live_in(instances, data_centre), "configuration");
--- a/cactusford/configuration/tree.h
+++ b/cactusford/configuration/tree.h
@@ -26,8 +26,8 @@
 // instance at position i >= 3 reads from position (i - 3) / fanout. An
 // instance that the list does not hold yet reads from any that it does.
 place
-place_of(const table<instance>& instances,
-         const std::string& self,
-         const std::string& data_centre);
+find_position(const table<instance>& instances,
+              const std::string& self,
+              const std::string& data_centre);
 
 } // namespace cactusford::configuration
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -411,8 +411,8 @@
   {
     std::vector<std::string> links;
     for (const auto& [name, i] : *current.instances) {
-      const auto place =
-        configuration::place_of(*current.instances, name, i.value.data_centre);
+      const auto place = configuration::find_position(
+        *current.instances, name, i.value.data_centre);
       if (place.is_watcher) {
         links.push_back(i.value.link);
       }
