--- a/cactusford/configuration/relay.cc
+++ b/cactusford/configuration/relay.cc
@@ -505,7 +505,7 @@
 }
 
 void
-relay::learn(const std::vector<platform::object>& objects)
+relay::apply_objects(const std::vector<platform::object>& objects)
 {
   impl_->take(objects);
 }
--- a/cactusford/configuration/relay.h
+++ b/cactusford/configuration/relay.h
@@ -51,7 +51,7 @@
   coverage covered() const;
 
   // Takes what this process learnt first, such as its own write.
-  void learn(const std::vector<platform::object>& objects);
+  void apply_objects(const std::vector<platform::object>& objects);
 
   // Milliseconds since the platform last confirmed this state.
   std::uint64_t confirmed_age_ms() const;
--- a/cactusford/entry/home_map_writer.cc
+++ b/cactusford/entry/home_map_writer.cc
@@ -175,7 +175,7 @@
                         .with("service", service)
                         .with("version", r.value)
                         .with("spec", w.spec));
-        daemon_.configuration.learn(
+        daemon_.configuration.apply_objects(
           { { "home_map", service, r.value, false, w.spec, w.request_id } });
       }
     });
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -256,7 +256,7 @@
                       .with("request", w.request_id));
       // Applies the write locally at once, without waiting for the watch.
       asio::post(daemon.io, [this, w, version = r.value] {
-        daemon.configuration.learn(
+        daemon.configuration.apply_objects(
           { { w.kind, w.name, version, w.remove, w.spec, w.request_id } });
       });
     }
