--- a/cactusford/configuration/relay.cc
+++ b/cactusford/configuration/relay.cc
@@ -94,7 +94,7 @@
   bool ready() const { return ready_; }
   snapshot_ptr current() const { return state_.view; }
 
-  coverage covered() const
+  coverage subtree_coverage() const
   {
     coverage c{ state_.max_version, 1 };
     for (const auto& [raw, child] : children_) {
@@ -373,7 +373,7 @@
     u.set_digest(state_.digest);
     u.set_age_ms(static_cast<std::uint32_t>(
       std::min<std::uint64_t>(confirmed_age_ms(), UINT32_MAX)));
-    const auto c = covered();
+    const auto c = subtree_coverage();
     u.set_covered_version(c.version);
     u.set_covered_processes(c.processes);
     for (const auto& o : objects) {
@@ -391,7 +391,7 @@
 
   void send_report(const link::stream_ptr& s)
   {
-    const auto c = covered();
+    const auto c = subtree_coverage();
     relay_message message;
     auto& r = *message.mutable_report();
     r.set_instance(settings_.instance);
@@ -499,9 +499,9 @@
 }
 
 coverage
-relay::covered() const
+relay::subtree_coverage() const
 {
-  return impl_->covered();
+  return impl_->subtree_coverage();
 }
 
 void
--- a/cactusford/configuration/relay.h
+++ b/cactusford/configuration/relay.h
@@ -48,7 +48,7 @@
   snapshot_ptr current() const;
 
   // This process and all that read from it, directly or not.
-  coverage covered() const;
+  coverage subtree_coverage() const;
 
   // Takes what this process learnt first, such as its own write.
   void apply_objects(const std::vector<platform::object>& objects);
