--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -270,7 +270,7 @@
                       .with("sample", body.sample_id())
                       .with("behind", staleness));
       daemon_.metrics.add("samples_dropped_total", { { "reason", "stale" } });
-      rollout::put_back(step, index);
+      rollout::release_slot(step, index);
       continue;
     }
     s.staleness_sum += static_cast<double>(staleness);
@@ -484,7 +484,7 @@
         if (!s->ended && found_again != s->steps.end() &&
             found_again->second.slots[sample->index].phase ==
               rollout::slot_phase::running) {
-          rollout::put_back(found_again->second, sample->index);
+          rollout::release_slot(found_again->second, sample->index);
           start_samples(s);
         }
       });
--- a/cactusford/rollout/step.cc
+++ b/cactusford/rollout/step.cc
@@ -44,7 +44,7 @@
 }
 
 void
-put_back(step& s, std::uint32_t index)
+release_slot(step& s, std::uint32_t index)
 {
   auto& slot = s.slots[index];
   if (slot.phase == slot_phase::waiting ||
--- a/cactusford/rollout/step.h
+++ b/cactusford/rollout/step.h
@@ -59,7 +59,7 @@
 
 // The call of a slot failed for good: it waits again.
 void
-put_back(step& s, std::uint32_t index);
+release_slot(step& s, std::uint32_t index);
 
 // False when the slot is filled already: the sample is a duplicate to drop.
 bool
