--- a/cactusford/rollout/client.cc
+++ b/cactusford/rollout/client.cc
@@ -141,7 +141,7 @@
   for (std::uint32_t i = 0; i < b.step_size; ++i) {
     held += is_received(s.at.received, i) ? 1 : 0;
   }
-  b.step_whole = b.step_size > 0 && held == b.step_size;
+  b.step_complete = b.step_size > 0 && held == b.step_size;
   return { std::move(b), {} };
 }
 
--- a/cactusford/rollout/client.h
+++ b/cactusford/rollout/client.h
@@ -30,7 +30,7 @@
   std::vector<sample> samples;
   std::uint32_t step_size = 0;
   std::uint32_t staleness_bound = 0;
-  bool step_whole = false;
+  bool step_complete = false;
 };
 
 class trainer_client
--- a/standins/trainer.cc
+++ b/standins/trainer.cc
@@ -99,7 +99,7 @@
       log_sample(s, one, b.value, client.position());
       ++samples;
     }
-    if (!b.value.step_whole) {
+    if (!b.value.step_complete) {
       continue;
     }
     const auto waited = process::steady_ms() - began;
