--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -406,10 +406,10 @@
   const auto group = s->job_name + "/" + std::to_string(step) + "/" +
                      std::to_string(slot.group());
   sample->body.set_prompt("prompt " + group);
-  const auto tries = get_step(*s, step).slots[i].tries;
+  const auto attempts = get_step(*s, step).slots[i].attempts;
   sample->body.set_sample_id(group + "/" + std::to_string(slot.index()) + "#" +
                              std::to_string(s->fence) + "." +
-                             std::to_string(tries));
+                             std::to_string(attempts));
   timeline::log(timeline::event{ "sample_started" }
                   .with("sample", sample->body.sample_id())
                   .with("trainer", s->trainer)
--- a/cactusford/rollout/step.cc
+++ b/cactusford/rollout/step.cc
@@ -38,7 +38,7 @@
   auto& slot = s.slots[s.cursor];
   slot.phase = slot_phase::running;
   slot.started_ms = now_ms;
-  ++slot.tries;
+  ++slot.attempts;
   --s.waiting;
   return static_cast<std::uint32_t>(s.cursor);
 }
--- a/cactusford/rollout/step.h
+++ b/cactusford/rollout/step.h
@@ -24,7 +24,7 @@
 {
   slot_phase phase = slot_phase::waiting;
   // Attempts of the whole sample: a dropped stale one begins anew.
-  std::uint32_t tries = 0;
+  std::uint32_t attempts = 0;
   std::uint64_t started_ms = 0;
   std::uint64_t tokens = 0;
   // Calls under way for it: two while a duplicate runs.
