--- a/cactusford/timeline/history.cc
+++ b/cactusford/timeline/history.cc
@@ -417,9 +417,9 @@
       version = std::max(version, e.number("version"));
     } else if (e.name == "configuration_accepted") {
       for (const auto& [process, spans] : lives) {
-        if (was_up(spans, e.at.ms, e.at.ms + l.in_force_ms) &&
-            e.at.ms + l.in_force_ms <= last &&
-            delay_of(all, process, e) > l.in_force_ms) {
+        if (was_up(spans, e.at.ms, e.at.ms + l.max_propagation_ms) &&
+            e.at.ms + l.max_propagation_ms <= last &&
+            delay_of(all, process, e) > l.max_propagation_ms) {
           fail(r,
                e,
                object_of(e) + " version " + e.value("version") +
--- a/cactusford/timeline/history.h
+++ b/cactusford/timeline/history.h
@@ -20,7 +20,7 @@
 struct history_limits
 {
   // Longest time from an accepted configuration to its being in force.
-  std::uint64_t in_force_ms = 8000;
+  std::uint64_t max_propagation_ms = 8000;
   // Longest time in which a leaving backend server may still get work.
   std::uint64_t leaving_ms = 3000;
 };
