--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -193,7 +193,7 @@
       r->name = "earlier";
     }
   }
-  line["in_force_ms_max"] = timeline::max_propagation_ms(records);
+  line["in_force_ms_max"] = timeline::longest_propagation_ms(records);
   return line;
 }
 
--- a/bench/demo.cc
+++ b/bench/demo.cc
@@ -90,7 +90,7 @@
     }
   }
   const auto t = count(records);
-  const auto in_force = timeline::max_propagation_ms(records);
+  const auto in_force = timeline::longest_propagation_ms(records);
   const bool good = violations == 0 && t.lost == 0 && t.duplicates == 0 &&
                     t.steps == o.steps * trainers && t.live > 0 &&
                     t.service > 0;
--- a/cactusford/timeline/history.cc
+++ b/cactusford/timeline/history.cc
@@ -481,7 +481,7 @@
 }
 
 std::uint64_t
-max_propagation_ms(const std::vector<record>& records)
+longest_propagation_ms(const std::vector<record>& records)
 {
   const auto all = applied_of(records);
   const auto lives = lives_of(records);
--- a/cactusford/timeline/history.h
+++ b/cactusford/timeline/history.h
@@ -45,6 +45,6 @@
 // Longest time from accepted to in force on a process that was up throughout,
 // in milliseconds.
 std::uint64_t
-max_propagation_ms(const std::vector<record>& records);
+longest_propagation_ms(const std::vector<record>& records);
 
 } // namespace cactusford::timeline
