--- a/cactusford/configuration/declaration.cc
+++ b/cactusford/configuration/declaration.cc
@@ -116,8 +116,8 @@
   if (document.is_discarded()) {
     return { error_kind::bad_request, "spec is not JSON" };
   }
-  if (auto wrong = settings::check(schema->second, document)) {
-    return { error_kind::bad_request, kind + "/" + name + " " + wrong.detail };
+  if (auto error = settings::check(schema->second, document)) {
+    return { error_kind::bad_request, kind + "/" + name + " " + error.detail };
   }
   return {};
 }
--- a/cactusford/configuration/declaration.h
+++ b/cactusford/configuration/declaration.h
@@ -1,4 +1,4 @@
-// What operators declare and what the platform lists, as typed values.
+// Typed values of the objects that operators declare and the platform lists.
 #pragma once
 
 #include "cactusford/error.h"
@@ -11,7 +11,7 @@
 
 namespace cactusford::configuration {
 
-// Backend servers with one model engine each.
+// A group of backend servers that run one model engine each.
 struct pool
 {
   std::string model;
@@ -21,10 +21,10 @@
   friend bool operator==(const pool&, const pool&) = default;
 };
 
-// Backend servers with a plain service each.
+// A plain service, which runs on a group of backend servers.
 struct service
 {
-  // Longest time that a call may take, milliseconds.
+  // Time limit of a call, in milliseconds.
   std::uint32_t deadline_ms = 5000;
 
   friend bool operator==(const service&, const service&) = default;
@@ -32,14 +32,16 @@
 
 struct trainer
 {
-  // Part of the rollout tokens, 0 to 1.
+  // Fraction of the rollout tokens, 0 to 1.
   double share = 1;
   std::string model;
-  // Most versions that a sample may lie behind at delivery.
+  // Maximum number of versions that a sample may be behind when it is
+  // delivered.
   std::uint32_t staleness_bound = 1;
-  // Part of the next step that may start before its weights are published,
-  // 0 to staleness_bound: more cuts idle time, less cuts staleness. Below 1
-  // the samples of the present step also wait for the newest weights.
+  // Fraction of the next step that may start before its weights are published,
+  // 0 to staleness_bound. A higher value reduces idle time, a lower value
+  // reduces staleness. Below 1, the samples of the current step also wait for
+  // the newest weights.
   double run_ahead = 0;
 
   friend bool operator==(const trainer&, const trainer&) = default;
@@ -59,7 +61,7 @@
   friend bool operator==(const rollout_job&, const rollout_job&) = default;
 };
 
-// The wanted version of a model, on every backend server that has it.
+// The version of a model that every backend server with the model should load.
 struct model_weights
 {
   std::string model;
@@ -74,7 +76,7 @@
   leaving,
 };
 
-// A line of the platform's lagging list.
+// An entry of the platform's list of instances. The list may be out of date.
 struct instance
 {
   std::string role;
@@ -87,35 +89,38 @@
   friend bool operator==(const instance&, const instance&) = default;
 };
 
-// Where the record of a non-idempotent key lives; docs/AT-MOST-ONCE.md.
+// An instance that keeps the records of some non-idempotent keys; see
+// docs/AT-MOST-ONCE.md.
 struct home_member
 {
   std::string instance;
-  // Keys issued before this moment may have run at an earlier home.
+  // Calls with keys issued before this time may have run at an earlier home.
   std::uint64_t since_ms = 0;
-  // The process that joined. A later one has lost its record.
+  // The process that joined. A later process of the instance has lost the
+  // record.
   std::uint64_t incarnation = 0;
 
   friend bool operator==(const home_member&, const home_member&) = default;
 };
 
-// A member that left, kept while a key that it may have run can come back.
+// A member that left. It is kept as long as a key that it may have run can be
+// sent again.
 struct former_member
 {
   std::string instance;
-  // A later process of the same instance cannot speak for it.
+  // A later process of the same instance does not have this member's record.
   std::uint64_t incarnation = 0;
-  // It may have run keys up to this moment: its lease had lapsed by then.
+  // It may have run keys until this time, when its lease had expired.
   std::uint64_t until_ms = 0;
-  // The other members at that time: enough of them must know of its end
-  // before its keys may run elsewhere.
+  // The other members at that time. Its keys may run elsewhere only after
+  // enough of them know that it has left.
   std::vector<std::string> peers;
 
   friend bool operator==(const former_member&, const former_member&) = default;
 };
 
-// Each member asks all others when the map changes, so their number is held
-// down; a larger service has more backend servers than homes.
+// Each member queries all others when the map changes, so their number is
+// limited. A larger service has more backend servers than homes.
 constexpr std::size_t max_home_members = 32;
 
 struct home_map
@@ -130,18 +135,18 @@
 const std::vector<std::string>&
 declared_kinds();
 
-// Kinds that take part in the configuration of a process.
+// Returns true for kinds that are part of the configuration of a process.
 bool
 is_relayed_kind(std::string_view kind);
 
-// Checks name and spec against the schema of the kind.
+// Checks the name's syntax and the spec against the schema of the kind.
 failure
 check_declaration(const std::string& kind,
                   const std::string& name,
                   const std::string& spec);
 
-// The specs were checked when they were accepted; a field that is missing
-// takes its default.
+// Converts a spec that was checked when it was accepted. A missing field takes
+// its default.
 pool
 pool_from(const std::string& spec);
 service
--- a/cactusford/configuration/relay.cc
+++ b/cactusford/configuration/relay.cc
@@ -25,7 +25,7 @@
 constexpr std::size_t max_children = 512;
 
 void
-fill(object& out, const platform::object& o)
+set_fields(object& out, const platform::object& o)
 {
   out.set_kind(o.kind);
   out.set_name(o.name);
@@ -43,7 +43,7 @@
 }
 
 std::uint64_t
-ms_since(steady::time_point t)
+elapsed_ms(steady::time_point t)
 {
   return static_cast<std::uint64_t>(
     std::chrono::duration_cast<milliseconds>(steady::now() - t).count());
@@ -82,12 +82,12 @@
       return;
     }
     children_[s.get()] = { s, {} };
-    auto me = shared_from_this();
-    s->on_message = [me, raw = s.get()](std::string_view m) {
-      me->on_child_message(raw, m);
+    auto self = shared_from_this();
+    s->on_message = [self, raw = s.get()](std::string_view m) {
+      self->on_child_message(raw, m);
     };
-    s->on_close = [me, raw = s.get()](std::error_code) {
-      me->children_.erase(raw);
+    s->on_close = [self, raw = s.get()](std::error_code) {
+      self->children_.erase(raw);
     };
   }
 
@@ -108,26 +108,26 @@
 
   std::uint64_t confirmed_age_ms() const
   {
-    return confirmed_ ? ms_since(*confirmed_) : UINT64_MAX;
+    return confirmed_ ? elapsed_ms(*confirmed_) : UINT64_MAX;
   }
 
-  void take(const std::vector<platform::object>& objects)
+  void apply_objects(const std::vector<platform::object>& objects)
   {
-    const auto taken = merge(state_, objects);
-    if (taken.empty()) {
+    const auto merged = merge(state_, objects);
+    if (merged.empty()) {
       return;
     }
-    for (const auto& o : taken) {
+    for (const auto& o : merged) {
       timeline::log(timeline::event{ "configuration_in_force" }
                       .with("kind", o.kind)
                       .with("name", o.name)
                       .with("version", o.version)
                       .with("deleted", o.deleted ? 1U : 0U));
     }
-    send_to_children(taken);
-    report_upwards();
+    send_to_children(merged);
+    send_report_to_parent();
     if (on_change_) {
-      on_change_(state_.view, taken);
+      on_change_(state_.view, merged);
     }
   }
 
@@ -152,20 +152,21 @@
     std::uint32_t processes = 0;
   };
 
-  // First load. Not ready before it, or a restarted process could decide on
-  // an older configuration than the one it had accepted before.
+  // Loads the configuration for the first time. The process is not ready
+  // before, because after a restart it could otherwise use an older
+  // configuration than the one it had before.
   void load()
   {
-    read_platform(0, [me = shared_from_this()](bool ok) {
+    read_changes(0, [self = shared_from_this()](bool ok) {
       if (ok) {
-        me->become_ready("platform");
-      } else if (!me->settings_.peers.empty()) {
-        me->ask_peers();
+        self->become_ready("platform");
+      } else if (!self->settings_.peers.empty()) {
+        self->query_peers();
       }
       if (!ok) {
-        me->after(retry_interval, [me] {
-          if (!me->ready_) {
-            me->load();
+        self->run_after(retry_interval, [self] {
+          if (!self->ready_) {
+            self->load();
           }
         });
       }
@@ -182,44 +183,44 @@
       if (on_change_) {
         on_change_(state_.view, {});
       }
-      place_self();
+      update_position();
     }
   }
 
-  void ask_peers()
+  void query_peers()
   {
     for (const auto& peer : settings_.peers) {
       auto s = links_.open(link::address_from(peer), "/configuration");
-      s->on_message = [me = shared_from_this(), s](std::string_view m) {
+      s->on_message = [self = shared_from_this(), s](std::string_view m) {
         relay_message message;
         if (message.ParseFromArray(m.data(), static_cast<int>(m.size())) &&
             message.has_update()) {
-          me->take_update(message.update());
-          me->after(milliseconds{ peer_answer_ms / 3 },
-                    [me] { me->become_ready("peers"); });
+          self->apply_update(message.update());
+          self->run_after(milliseconds{ peer_answer_ms / 3 },
+                          [self] { self->become_ready("peers"); });
           s->cancel();
         }
       };
       send_report(s);
-      after(milliseconds{ peer_answer_ms }, [s] { s->cancel(); });
+      run_after(milliseconds{ peer_answer_ms }, [s] { s->cancel(); });
     }
   }
 
-  // Reads the changes on a worker thread, as the call blocks.
-  void read_platform(std::uint32_t wait_ms, std::function<void(bool)> done)
+  // Reads the changes on a worker thread, because the call blocks.
+  void read_changes(std::uint32_t wait_ms, std::function<void(bool)> done)
   {
     const auto since = state_.max_version > 0 && wait_ms > 0 ? revision_ : 0;
-    asio::post(workers_, [me = shared_from_this(), since, wait_ms, done] {
+    asio::post(workers_, [self = shared_from_this(), since, wait_ms, done] {
       const auto sent = steady::now();
-      auto list = me->platform_.changes(since, wait_ms);
-      asio::post(me->io_, [me, list = std::move(list), sent, done] {
-        if (me->stopped_) {
+      auto list = self->platform_.changes(since, wait_ms);
+      asio::post(self->io_, [self, list = std::move(list), sent, done] {
+        if (self->stopped_) {
           return;
         }
         if (list) {
-          me->revision_ = std::max(me->revision_, list.value.revision);
-          me->confirmed_ = sent;
-          me->take(list.value.objects);
+          self->revision_ = std::max(self->revision_, list.value.revision);
+          self->confirmed_ = sent;
+          self->apply_objects(list.value.objects);
         }
         done(static_cast<bool>(list));
       });
@@ -228,42 +229,43 @@
 
   void watch()
   {
-    if (watching_ || stopped_ || !place_.is_watcher) {
+    if (watching_ || stopped_ || !position_.is_watcher) {
       return;
     }
     watching_ = true;
-    // An answer confirms the state for a lease, so that one must come well
-    // within it also when nothing changes. With a wait as long as the lease
-    // every home asked every other one, although the platform was up.
+    // A response confirms the state for the duration of a lease, so the next
+    // one must arrive well before the lease expires, even without changes. When
+    // the wait was as long as the lease, every home queried all others although
+    // the platform was up.
     const auto wait = std::min(max_watch_wait_ms, settings_.lease_ms / 3);
-    read_platform(wait, [me = shared_from_this()](bool ok) {
-      me->watching_ = false;
+    read_changes(wait, [self = shared_from_this()](bool ok) {
+      self->watching_ = false;
       if (ok) {
-        me->watch();
+        self->watch();
       } else {
-        me->after(retry_interval, [me] { me->watch(); });
+        self->run_after(retry_interval, [self] { self->watch(); });
       }
     });
   }
 
-  void place_self()
+  void update_position()
   {
     auto next = find_position(
       *state_.view->instances, settings_.instance, settings_.data_centre);
-    if (next == place_ && (place_.is_watcher || parent_)) {
+    if (next == position_ && (position_.is_watcher || parent_)) {
       return;
     }
-    if (next.parents != place_.parents) {
+    if (next.parents != position_.parents) {
       failures_ = 0;
     }
-    place_ = std::move(next);
-    const auto& parents = place_.parents;
+    position_ = std::move(next);
+    const auto& parents = position_.parents;
     if (parent_ && std::find(parents.begin(), parents.end(), parent_name_) ==
                      parents.end()) {
       parent_->cancel();
       parent_ = nullptr;
     }
-    if (place_.is_watcher) {
+    if (position_.is_watcher) {
       watch();
     }
     connect_parent();
@@ -271,10 +273,10 @@
 
   void connect_parent()
   {
-    if (parent_ || place_.parents.empty() || stopped_) {
+    if (parent_ || position_.parents.empty() || stopped_) {
       return;
     }
-    const auto& name = place_.parents[failures_ % place_.parents.size()];
+    const auto& name = position_.parents[failures_ % position_.parents.size()];
     const auto& instances = *state_.view->instances;
     const auto found = instances.find(name);
     if (found == instances.end()) {
@@ -285,18 +287,18 @@
     parent_name_ = name;
     timeline::log(
       timeline::event{ "configuration_parent" }.with("instance", name));
-    auto me = shared_from_this();
-    parent_->on_message = [me](std::string_view m) {
-      me->on_parent_message(m);
+    auto self = shared_from_this();
+    parent_->on_message = [self](std::string_view m) {
+      self->on_parent_message(m);
     };
-    parent_->on_close = [me](std::error_code ec) {
+    parent_->on_close = [self](std::error_code ec) {
       timeline::log(timeline::event{ "configuration_parent_lost" }
-                      .with("instance", me->parent_name_)
+                      .with("instance", self->parent_name_)
                       .with("error", ec.message()));
-      me->parent_ = nullptr;
-      ++me->failures_;
+      self->parent_ = nullptr;
+      ++self->failures_;
     };
-    report_upwards();
+    send_report_to_parent();
   }
 
   void on_parent_message(std::string_view m)
@@ -306,11 +308,11 @@
       return;
     }
     if (message.has_update()) {
-      take_update(message.update());
+      apply_update(message.update());
     }
   }
 
-  void take_update(const update& u)
+  void apply_update(const update& u)
   {
     std::vector<platform::object> objects;
     objects.reserve(static_cast<std::size_t>(u.objects_size()));
@@ -324,8 +326,9 @@
         confirmed_ = at;
       }
     }
-    take(objects);
-    // The parent knows less, for example after its own restart in an outage.
+    apply_objects(objects);
+    // The parent is behind, for example after a restart while the platform was
+    // down.
     if (parent_ && u.max_version() < state_.max_version) {
       send_update(parent_, newer_than(state_, u.max_version()));
     }
@@ -342,19 +345,20 @@
       return;
     }
     if (message.has_update()) {
-      take_update(message.update());
+      apply_update(message.update());
     }
     if (message.has_report()) {
       const auto& r = message.report();
       found->second.min_version = r.min_version();
       found->second.processes = r.processes();
-      repair(found->second.s, r);
+      sync_child(found->second.s, r);
     }
   }
 
-  // Equal digests need nothing. A child that is merely behind gets the newer
-  // objects; one that differs otherwise has lost a message and gets all.
-  void repair(const link::stream_ptr& s, const report& r)
+  // Nothing is missing if the digests are equal. A child that is behind gets
+  // the newer objects. Any other difference means that a message was lost, so
+  // the child gets all objects.
+  void sync_child(const link::stream_ptr& s, const report& r)
   {
     std::vector<platform::object> objects;
     if (r.digest() != state_.digest) {
@@ -377,7 +381,7 @@
     u.set_covered_version(c.version);
     u.set_covered_processes(c.processes);
     for (const auto& o : objects) {
-      fill(*u.add_objects(), o);
+      set_fields(*u.add_objects(), o);
     }
     s->send(message.SerializeAsString());
   }
@@ -402,17 +406,18 @@
     s->send(message.SerializeAsString());
   }
 
-  void report_upwards()
+  void send_report_to_parent()
   {
-    if (parent_ && !place_.is_watcher) {
+    if (parent_ && !position_.is_watcher) {
       send_report(parent_);
     } else if (parent_) {
-      send_peer_report();
+      send_state_to_watcher();
     }
   }
 
-  // Watchers compare states with one another, but count themselves only once.
-  void send_peer_report()
+  // Watchers compare their states with each other. Without a process count in
+  // the report, a watcher is not counted as a child of another one.
+  void send_state_to_watcher()
   {
     relay_message message;
     auto& r = *message.mutable_report();
@@ -424,21 +429,21 @@
 
   void tick()
   {
-    after(tick_interval, [me = shared_from_this()] {
-      if (me->ready_) {
-        me->place_self();
-        me->report_upwards();
+    run_after(tick_interval, [self = shared_from_this()] {
+      if (self->ready_) {
+        self->update_position();
+        self->send_report_to_parent();
       }
-      me->tick();
+      self->tick();
     });
   }
 
-  void after(milliseconds delay, std::function<void()> run)
+  void run_after(milliseconds delay, std::function<void()> callback)
   {
     auto t = std::make_shared<asio::steady_timer>(io_, delay);
-    t->async_wait([me = shared_from_this(), t, run](asio::error_code) {
-      if (!me->stopped_) {
-        run();
+    t->async_wait([self = shared_from_this(), t, callback](asio::error_code) {
+      if (!self->stopped_) {
+        callback();
       }
     });
   }
@@ -451,7 +456,7 @@
   asio::steady_timer timer_;
   change_handler on_change_;
   state state_;
-  place place_;
+  tree_position position_;
   std::uint64_t revision_ = 0;
   std::optional<steady::time_point> confirmed_;
   link::stream_ptr parent_;
@@ -507,7 +512,7 @@
 void
 relay::apply_objects(const std::vector<platform::object>& objects)
 {
-  impl_->take(objects);
+  impl_->apply_objects(objects);
 }
 
 std::uint64_t
--- a/cactusford/configuration/relay.h
+++ b/cactusford/configuration/relay.h
@@ -1,5 +1,5 @@
-// Brings the configuration to every process: the first three instances of a
-// data centre watch the platform, the others read from them over a tree.
+// Distributes the configuration to every process. The first three instances of
+// a data centre watch the platform; the others read from them through a tree.
 #pragma once
 
 #include "cactusford/configuration/state.h"
@@ -14,7 +14,8 @@
 
 namespace cactusford::configuration {
 
-// How much of the fleet holds a version, as this process knows it.
+// Number of processes that have at least a version, as far as this process
+// knows.
 struct coverage
 {
   std::uint64_t version = 0;
@@ -35,25 +36,28 @@
         const settings::process_settings& s);
   ~relay();
 
-  // Loads from the platform or, while it is down, from the peers. `on_change`
-  // runs on the io thread after each change.
+  // Loads the configuration from the platform or, while the platform is down,
+  // from the peers. `on_change` runs on the io thread after each change.
   void start(change_handler on_change);
 
-  // Serves a "/configuration" stream of another process.
+  // Serves a "/configuration" stream that another process opened.
   void serve(const link::stream_ptr& s);
 
-  // False until the state holds the maximum of the platform or the peers.
+  // Returns false until the state holds the newest version that the platform
+  // or the peers have.
   bool is_ready() const;
 
   snapshot_ptr current() const;
 
-  // This process and all that read from it, directly or not.
+  // Covers this process and all that read from it, directly or indirectly.
   coverage subtree_coverage() const;
 
-  // Takes what this process learnt first, such as its own write.
+  // Merges objects that did not come through the relay, such as those that this
+  // process wrote itself.
   void apply_objects(const std::vector<platform::object>& objects);
 
-  // Milliseconds since the platform last confirmed this state.
+  // Returns the milliseconds since the platform last confirmed this state, or
+  // UINT64_MAX if it never has.
   std::uint64_t confirmed_age_ms() const;
 
   void stop();
--- a/cactusford/configuration/state-test.cc
+++ b/cactusford/configuration/state-test.cc
@@ -15,7 +15,7 @@
 namespace {
 
 platform::object
-trainer_at(std::uint64_t version, double share, bool deleted = false)
+make_trainer(std::uint64_t version, double share, bool deleted = false)
 {
   return { "trainer",
            "t",
@@ -26,60 +26,61 @@
 }
 
 platform::object
-instance_in(const std::string& name, const std::string& centre)
+make_instance(const std::string& name, const std::string& data_centre)
 {
   return { "instance",
            name,
            1,
            false,
-           R"({"role":"sidecar","data_centre":")" + centre +
+           R"({"role":"sidecar","data_centre":")" + data_centre +
              R"(","link":"127.0.0.1:1","state":"live"})",
            "" };
 }
 
 table<instance>
-fleet_of(std::size_t count)
+make_instances(std::size_t count)
 {
   state s;
   for (std::size_t i = 0; i < count; ++i) {
-    merge(s, std::vector{ instance_in("i" + std::to_string(i), "dc") });
+    merge(s, std::vector{ make_instance("i" + std::to_string(i), "dc") });
   }
   return *s.view->instances;
 }
 
 } // namespace
 
-// An operator's change is in force; then an older version of the same object
-// arrives late, over another path. The process must not go back to it.
+// Guards against a delayed message with an older version of an object, which
+// arrives over another path after the process has applied a newer version. The
+// process must not revert to the older one.
 Test(configuration, never_reverts)
 {
   state s;
-  merge(s, std::vector{ trainer_at(5, 0.5) });
-  SECTION("an older or equal version is passed over")
+  merge(s, std::vector{ make_trainer(5, 0.5) });
+  SECTION("an older or equal version is ignored")
   {
-    cr_assert(merge(s, std::vector{ trainer_at(3, 0.1) }).empty());
-    cr_assert(merge(s, std::vector{ trainer_at(5, 0.9) }).empty());
+    cr_assert(merge(s, std::vector{ make_trainer(3, 0.1) }).empty());
+    cr_assert(merge(s, std::vector{ make_trainer(5, 0.9) }).empty());
     cr_assert_eq(s.view->trainers->at("t").value.share, 0.5);
   }
-  SECTION("a deletion is a version like any other and stays")
+  SECTION("a deletion is not undone by an older version")
   {
-    merge(s, std::vector{ trainer_at(6, 0.5, true) });
+    merge(s, std::vector{ make_trainer(6, 0.5, true) });
     cr_assert(s.view->trainers->empty());
-    cr_assert(merge(s, std::vector{ trainer_at(5, 0.5) }).empty());
+    cr_assert(merge(s, std::vector{ make_trainer(5, 0.5) }).empty());
     cr_assert(s.view->trainers->empty());
   }
-  SECTION("a snapshot that was taken before does not change")
+  SECTION("a snapshot taken before a change does not change")
   {
-    merge(s, std::vector{ trainer_at(8, 0.25) });
+    merge(s, std::vector{ make_trainer(8, 0.25) });
     const auto before = s.view;
-    merge(s, std::vector{ trainer_at(9, 0.75) });
+    merge(s, std::vector{ make_trainer(9, 0.75) });
     cr_assert_eq(before->trainers->at("t").value.share, 0.25);
     cr_assert_eq(s.view->trainers->at("t").value.share, 0.75);
   }
 }
 
-// Messages are lost, repeated and reordered on the way. Two processes that
-// took in the same set in any order hold the same state and digest.
+// Messages can be lost, repeated and reordered. Two processes that merged the
+// same set of objects in any order must have the same state and digest.
 Test(configuration, property_order_does_not_matter)
 {
   const bool ok = rc::check("order does not matter", [] {
@@ -95,11 +96,11 @@
     state a;
     state b;
     for (const auto v : versions) {
-      merge(a, std::vector{ trainer_at(v, 1, v % 3 == 0) });
+      merge(a, std::vector{ make_trainer(v, 1, v % 3 == 0) });
     }
     for (const auto v : shuffled) {
-      merge(b, std::vector{ trainer_at(v, 1, v % 3 == 0) });
-      merge(b, std::vector{ trainer_at(v, 1, v % 3 == 0) });
+      merge(b, std::vector{ make_trainer(v, 1, v % 3 == 0) });
+      merge(b, std::vector{ make_trainer(v, 1, v % 3 == 0) });
     }
     RC_ASSERT(a.digest == b.digest);
     RC_ASSERT(a.max_version == b.max_version);
@@ -111,31 +112,32 @@
 Test(tree, every_instance_reaches_a_watcher)
 {
   for (const std::size_t count : { 1U, 2U, 3U, 4U, 30U, 400U }) {
-    const auto fleet = fleet_of(count);
+    const auto instances = make_instances(count);
     std::size_t watchers = 0;
-    for (const auto& [name, i] : fleet) {
-      auto at = name;
+    for (const auto& [name, i] : instances) {
+      auto current = name;
       std::size_t hops = 0;
-      auto p = find_position(fleet, at, "dc");
-      watchers += p.is_watcher ? 1 : 0;
-      while (!p.is_watcher) {
-        cr_assert_lt(++hops, 5, "no way to a watcher from %s", name.c_str());
-        cr_assert(!p.parents.empty());
-        at = p.parents.front();
-        p = find_position(fleet, at, "dc");
+      auto position = find_position(instances, current, "dc");
+      watchers += position.is_watcher ? 1 : 0;
+      while (!position.is_watcher) {
+        cr_assert_lt(
+          ++hops, 5, "%s does not reach a watcher in 4 hops", name.c_str());
+        cr_assert(!position.parents.empty());
+        current = position.parents.front();
+        position = find_position(instances, current, "dc");
       }
     }
     cr_assert_eq(watchers, std::min(count, watchers_per_data_centre));
   }
 }
 
-// A replacement has started, but the platform's list does not show it yet. It
-// must still learn the configuration from somebody.
+// A new instance has started, but the platform's list does not contain it yet.
+// It must still receive the configuration from a listed instance.
 Test(tree, an_unlisted_instance_reads_from_a_listed_one)
 {
-  const auto fleet = fleet_of(12);
-  const auto p = find_position(fleet, "new", "dc");
-  cr_assert(!p.is_watcher);
-  cr_assert(!p.parents.empty());
+  const auto instances = make_instances(12);
+  const auto position = find_position(instances, "new", "dc");
+  cr_assert(!position.is_watcher);
+  cr_assert(!position.parents.empty());
   cr_assert(find_position({}, "new", "dc").is_watcher);
 }
--- a/cactusford/configuration/state.cc
+++ b/cactusford/configuration/state.cc
@@ -20,26 +20,26 @@
   return XXH3_64bits_withSeed(key.data(), key.size(), version);
 }
 
-// Copies a table on its first change in a merge only: a first load of
-// thousands of objects would otherwise cost a copy for each of them.
+// Copies a shared table on its first change in a merge and not on later ones. A
+// first load of thousands of objects would otherwise copy it for each object.
 template<typename T>
 table<T>&
-writable(std::shared_ptr<const table<T>>& held)
+make_writable(std::shared_ptr<const table<T>>& current)
 {
-  if (held.use_count() > 1) {
-    held = std::make_shared<table<T>>(*held);
+  if (current.use_count() > 1) {
+    current = std::make_shared<table<T>>(*current);
   }
-  return const_cast<table<T>&>(*held);
+  return const_cast<table<T>&>(*current);
 }
 
 template<typename T>
 void
-put(std::shared_ptr<const table<T>>& held,
+put(std::shared_ptr<const table<T>>& current,
     const std::string& name,
     const platform::object& o,
     T (*parse)(const std::string&))
 {
-  auto& next = writable(held);
+  auto& next = make_writable(current);
   if (o.deleted) {
     next.erase(name);
   } else {
@@ -86,31 +86,31 @@
 std::vector<platform::object>
 merge(state& s, std::span<const platform::object> incoming)
 {
-  std::vector<platform::object> taken;
+  std::vector<platform::object> merged;
   auto view = std::make_shared<snapshot>(*s.view);
   for (const auto& o : incoming) {
     if (!is_relayed_kind(o.kind)) {
       continue;
     }
     const auto key = key_of(o);
-    auto& held = s.objects[key];
-    if (o.version <= held.version) {
+    auto& current = s.objects[key];
+    if (o.version <= current.version) {
       continue;
     }
-    if (held.version != 0) {
-      s.digest ^= hash_of(key, held.version);
+    if (current.version != 0) {
+      s.digest ^= hash_of(key, current.version);
     }
     s.digest ^= hash_of(key, o.version);
-    held = o;
+    current = o;
     s.max_version = std::max(s.max_version, o.version);
     apply(*view, o);
-    taken.push_back(o);
+    merged.push_back(o);
   }
-  if (!taken.empty()) {
+  if (!merged.empty()) {
     view->version = s.max_version;
     s.view = std::move(view);
   }
-  return taken;
+  return merged;
 }
 
 std::vector<platform::object>
--- a/cactusford/configuration/state.h
+++ b/cactusford/configuration/state.h
@@ -1,5 +1,5 @@
-// The configuration that a process holds: merged by the highest version of
-// each object, so loss, repeats and reordering of messages cannot revert it.
+// The configuration of a process. Objects are merged by highest version, so
+// lost, repeated and reordered messages cannot revert it.
 #pragma once
 
 #include "cactusford/configuration/declaration.h"
@@ -24,8 +24,8 @@
 template<typename T>
 using table = std::map<std::string, versioned<T>>;
 
-// An immutable view. A request is decided on one snapshot from start to end.
-// Tables are shared between snapshots that do not differ in them.
+// An immutable view of the configuration. A request uses the same snapshot from
+// start to end. Snapshots share the tables in which they do not differ.
 struct snapshot
 {
   std::uint64_t version = 0;
@@ -33,7 +33,7 @@
   std::shared_ptr<const table<service>> services;
   std::shared_ptr<const table<trainer>> trainers;
   std::shared_ptr<const table<rollout_job>> jobs;
-  // By model.
+  // Keyed by model.
   std::shared_ptr<const table<model_weights>> weights;
   std::shared_ptr<const table<instance>> instances;
   std::shared_ptr<const table<home_map>> home_maps;
@@ -46,21 +46,21 @@
 
 struct state
 {
-  // Key "kind/name"; tombstones stay, or an old message could bring a deleted
-  // object back.
+  // Keyed by "kind/name". Deleted objects stay as tombstones, because an old
+  // message could otherwise restore them.
   std::map<std::string, platform::object> objects;
   std::uint64_t max_version = 0;
-  // Exclusive or of a hash of each key and version: equal digests mean equal
-  // states, whatever the order in which they were built.
+  // Exclusive or of the hashes of all keys and versions. Equal digests mean
+  // equal states, regardless of the order of the merges.
   std::uint64_t digest = 0;
   snapshot_ptr view = empty_snapshot();
 };
 
-// Takes the objects that are newer than what is held and returns those.
+// Merges the objects that are newer than those in the state and returns them.
 std::vector<platform::object>
 merge(state& s, std::span<const platform::object> incoming);
 
-// Objects newer than `version`, in version order.
+// Returns the objects newer than `version`, in version order.
 std::vector<platform::object>
 newer_than(const state& s, std::uint64_t version);
 
--- a/cactusford/configuration/tree.cc
+++ b/cactusford/configuration/tree.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t max_parents = 4;
 
 std::vector<std::string>
-live_in(const table<instance>& instances, const std::string& data_centre)
+live_instances(const table<instance>& instances, const std::string& data_centre)
 {
   std::vector<std::string> names;
   for (const auto& [name, i] : instances) {
@@ -24,40 +24,44 @@
 }
 
 void
-add_parent(place& p, const std::string& name, const std::string& self)
+add_parent(tree_position& position,
+           const std::string& name,
+           const std::string& self)
 {
-  const auto known =
-    std::find(p.parents.begin(), p.parents.end(), name) != p.parents.end();
-  if (!known && name != self && p.parents.size() < max_parents) {
-    p.parents.push_back(name);
+  const auto is_parent =
+    std::find(position.parents.begin(), position.parents.end(), name) !=
+    position.parents.end();
+  if (!is_parent && name != self && position.parents.size() < max_parents) {
+    position.parents.push_back(name);
   }
 }
 
 } // namespace
 
-place
+tree_position
 find_position(const table<instance>& instances,
               const std::string& self,
               const std::string& data_centre)
 {
   const auto ranked =
-    membership::rank(live_in(instances, data_centre), "configuration");
+    membership::rank(live_instances(instances, data_centre), "configuration");
   const auto found = std::find(ranked.begin(), ranked.end(), self);
-  const auto position =
+  const auto index =
     static_cast<std::size_t>(std::distance(ranked.begin(), found));
-  place p;
-  if (ranked.empty() || position < watchers_per_data_centre) {
-    p.is_watcher =
+  tree_position position;
+  if (ranked.empty() || index < watchers_per_data_centre) {
+    position.is_watcher =
       ranked.size() < watchers_per_data_centre || found != ranked.end();
   } else {
-    add_parent(p, ranked[(position - watchers_per_data_centre) / fanout], self);
+    add_parent(
+      position, ranked[(index - watchers_per_data_centre) / fanout], self);
   }
-  // When the parent is dead but still listed, the roots stand in for it.
-  const auto roots = std::min(ranked.size(), watchers_per_data_centre);
-  for (std::size_t i = 0; i < roots; ++i) {
-    add_parent(p, ranked[(i + position) % roots], self);
+  // The watchers replace a parent that is down but still listed.
+  const auto watchers = std::min(ranked.size(), watchers_per_data_centre);
+  for (std::size_t i = 0; i < watchers; ++i) {
+    add_parent(position, ranked[(i + index) % watchers], self);
   }
-  return p;
+  return position;
 }
 
 } // namespace cactusford::configuration
--- a/cactusford/configuration/tree.h
+++ b/cactusford/configuration/tree.h
@@ -1,5 +1,5 @@
-// Who reads the configuration from whom. Pure: every process works out its
-// own place from the platform's list.
+// Determines from which instances a process reads the configuration. Pure
+// functions: every process computes its own position from the platform's list.
 #pragma once
 
 #include "cactusford/configuration/state.h"
@@ -12,20 +12,20 @@
 constexpr std::size_t watchers_per_data_centre = 3;
 constexpr std::size_t fanout = 8;
 
-struct place
+struct tree_position
 {
-  // Reads from the platform itself.
+  // Watches the platform directly.
   bool is_watcher = false;
-  // Instances to read from, best first.
+  // Instances to read from, in order of preference.
   std::vector<std::string> parents;
 
-  friend bool operator==(const place&, const place&) = default;
+  friend bool operator==(const tree_position&, const tree_position&) = default;
 };
 
-// The first three of a data centre's rendezvous order watch the platform; the
-// instance at position i >= 3 reads from position (i - 3) / fanout. An
-// instance that the list does not hold yet reads from any that it does.
-place
+// The first three instances of a data centre in rendezvous order watch the
+// platform. The instance at index i >= 3 reads from index (i - 3) / fanout. An
+// instance that is not listed yet reads from any listed one.
+tree_position
 find_position(const table<instance>& instances,
               const std::string& self,
               const std::string& data_centre);
