--- a/cactusford/entry/owner.cc
+++ b/cactusford/entry/owner.cc
@@ -270,7 +270,7 @@
                       .with("sample", body.sample_id())
                       .with("behind", staleness));
       daemon_.metrics.add("samples_dropped_total", { { "reason", "stale" } });
-      rollout::put_back(step, index);
+      rollout::release_slot(step, index);
       continue;
     }
     s.staleness_sum += static_cast<double>(staleness);
@@ -406,10 +406,10 @@
   const auto group = s->job_name + "/" + std::to_string(step) + "/" +
                      std::to_string(slot.group());
   sample->body.set_prompt("prompt " + group);
-  const auto tries = get_step(*s, step).slots[i].tries;
+  const auto attempts = get_step(*s, step).slots[i].attempts;
   sample->body.set_sample_id(group + "/" + std::to_string(slot.index()) + "#" +
                              std::to_string(s->fence) + "." +
-                             std::to_string(tries));
+                             std::to_string(attempts));
   timeline::log(timeline::event{ "sample_started" }
                   .with("sample", sample->body.sample_id())
                   .with("trainer", s->trainer)
@@ -484,7 +484,7 @@
         if (!s->ended && found_again != s->steps.end() &&
             found_again->second.slots[sample->index].phase ==
               rollout::slot_phase::running) {
-          rollout::put_back(found_again->second, sample->index);
+          rollout::release_slot(found_again->second, sample->index);
           start_samples(s);
         }
       });
--- a/cactusford/rollout/step.cc
+++ b/cactusford/rollout/step.cc
@@ -38,13 +38,13 @@
   auto& slot = s.slots[s.cursor];
   slot.phase = slot_phase::running;
   slot.started_ms = now_ms;
-  ++slot.tries;
+  ++slot.attempts;
   --s.waiting;
   return static_cast<std::uint32_t>(s.cursor);
 }
 
 void
-put_back(step& s, std::uint32_t index)
+release_slot(step& s, std::uint32_t index)
 {
   auto& slot = s.slots[index];
   if (slot.phase == slot_phase::waiting ||
--- a/cactusford/timeline/history.h
+++ b/cactusford/timeline/history.h
@@ -20,7 +20,7 @@
 struct history_limits
 {
   // Longest time from an accepted configuration to its being in force.
-  std::uint64_t in_force_ms = 8000;
+  std::uint64_t max_propagation_ms = 8000;
   // Longest time in which a leaving backend server may still get work.
   std::uint64_t leaving_ms = 3000;
 };
@@ -45,6 +45,6 @@
 // Longest time from accepted to in force on a process that was up throughout,
 // in milliseconds.
 std::uint64_t
-longest_in_force_ms(const std::vector<record>& records);
+longest_propagation_ms(const std::vector<record>& records);
 
 } // namespace cactusford::timeline
