--- a/cactusford/batches/submissions.cc
+++ b/cactusford/batches/submissions.cc
@@ -89,7 +89,7 @@
 {
   const auto& fields = peer.request().fields;
   const auto target = http::find(fields, target_header);
-  const auto remaining_ms = http::number(fields, remaining_time_header);
+  const auto remaining_ms = http::find_number(fields, remaining_time_header);
   if (!target || !remaining_ms) {
     process::log_line(
       timeline::event{ "forwarded_submission_unreadable" }.with("batch", id));
@@ -147,7 +147,7 @@
     to.address,
     r,
     o,
-    [self = shared_from_this(), pending, to](http::end_state end,
+    [self = shared_from_this(), pending, to](http::exchange_outcome end,
                                              http::response&& answered) {
       process::log_line(
         timeline::event{ "batch_forwarded" }
@@ -155,14 +155,15 @@
           .with("to", to.instance)
           .with("end", http::name_of(end))
           .with("status", static_cast<std::uint64_t>(answered.status)));
-      const bool complete = end == http::end_state::complete;
+      const bool complete = end == http::exchange_outcome::complete;
       if (complete && answered.status != status_misdirected) {
         pending->caller.respond(answered.status == status_unavailable
                                   ? retry_later(self->deps.dialect)
                                   : answer(answered.status));
         return;
       }
-      pending->write_unknown = !complete && end != http::end_state::not_sent;
+      pending->write_unknown =
+        !complete && end != http::exchange_outcome::not_sent;
       self->accept_locally(pending);
     });
 }
@@ -243,28 +244,29 @@
 manager::impl::placement_view_for(const std::string& host,
                                   const std::string& target)
 {
-  placement_view v;
-  v.self = this_member();
-  v.largest_entries = deps.largest_entries();
-  v.now_ms = http::now_ms();
+  placement_view view;
+  view.self = this_member();
+  view.largest_entries = deps.largest_entries();
+  view.now_ms = http::now_ms();
   const auto route = route_to(host, target);
-  v.trainer = route == nullptr ? target : route->path_prefix;
+  view.trainer = route == nullptr ? target : route->path_prefix;
   for (const auto& [id, b] : batches) {
     const auto& s = b->stored;
     if (!b->is_open() || s.owner.empty()) {
       continue;
     }
     if (route == nullptr || route_to(s.host, s.target) != route) {
-      v.busy_instances.insert(s.owner);
+      view.busy_instances.insert(s.owner);
       continue;
     }
-    const auto seen = b->owned ? v.now_ms : owner_seen_at_ms[s.owner_address];
-    v.trainer_runners.push_back(
+    const auto seen =
+      b->owned ? view.now_ms : owner_seen_at_ms[s.owner_address];
+    view.trainer_runners.push_back(
       { { s.owner, s.owner_address, s.owner_capacity },
         s.accepted_wall_ms,
         seen });
   }
-  return v;
+  return view;
 }
 
 void
--- a/cactusford/entry/home_map_writer.cc
+++ b/cactusford/entry/home_map_writer.cc
@@ -160,10 +160,13 @@
                        std::uint64_t version,
                        const configuration::home_map& next)
 {
-  const platform::write w{ "home_map",        service,
-                           version,           configuration::to_spec(next),
-                           process::new_id(), false };
-  daemon_.work(
+  const platform::write w{ "home_map",
+                           service,
+                           version,
+                           configuration::to_spec(next),
+                           process::generate_id(),
+                           false };
+  daemon_.run_on_worker(
     [this, w] { return daemon_.platform.put(w); },
     [this, service, w](const result<std::uint64_t>& r) {
       auto& state = services_[service];
@@ -175,7 +178,7 @@
                         .with("service", service)
                         .with("version", r.value)
                         .with("spec", w.spec));
-        daemon_.configuration.learn(
+        daemon_.configuration.apply_objects(
           { { "home_map", service, r.value, false, w.spec, w.request_id } });
       }
     });
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -2,7 +2,7 @@
 
 #include "cactusford/configuration/configuration.pb.h"
 #include "cactusford/configuration/tree.h"
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/operators/operators.grpc.pb.h"
 #include "cactusford/rollout/rollout.grpc.pb.h"
 #include "cactusford/timeline/event.h"
@@ -187,7 +187,7 @@
       done(last_reply);
       return;
     }
-    link::ask(
+    link::send_request(
       daemon.io,
       daemon.links,
       link::address_from(found->second.value.link),
@@ -245,7 +245,7 @@
   result<std::uint64_t> put(platform::write w)
   {
     if (w.request_id.empty()) {
-      w.request_id = process::new_id();
+      w.request_id = process::generate_id();
     }
     auto r = daemon.platform.put(w);
     if (r) {
@@ -256,7 +256,7 @@
                       .with("request", w.request_id));
       // Applies the write locally at once, without waiting for the watch.
       asio::post(daemon.io, [this, w, version = r.value] {
-        daemon.configuration.learn(
+        daemon.configuration.apply_objects(
           { { w.kind, w.name, version, w.remove, w.spec, w.request_id } });
       });
     }
@@ -386,17 +386,17 @@
   // processes below them have, so a few requests cover all processes.
   std::uint32_t count_in_force(const configuration::snapshot& current)
   {
-    std::uint32_t covered = 0;
+    std::uint32_t subtree_coverage = 0;
     for (const auto& peer : roots_of(current)) {
       const auto r =
         request_and_wait(peer, "/configuration", status_request_bytes());
       configuration::relay_message m;
       if (r && m.ParseFromString(r.value) &&
           m.update().covered_version() >= current.version) {
-        covered += m.update().covered_processes();
+        subtree_coverage += m.update().covered_processes();
       }
     }
-    return covered;
+    return subtree_coverage;
   }
 
   static std::string status_request_bytes()
@@ -411,8 +411,8 @@
   {
     std::vector<std::string> links;
     for (const auto& [name, i] : *current.instances) {
-      const auto place =
-        configuration::place_of(*current.instances, name, i.value.data_centre);
+      const auto place = configuration::find_position(
+        *current.instances, name, i.value.data_centre);
       if (place.is_watcher) {
         links.push_back(i.value.link);
       }
@@ -425,13 +425,13 @@
                                        const std::string& request)
   {
     return run_on_io<result<std::string>>([=, this](auto done) {
-      link::ask(daemon.io,
-                daemon.links,
-                link::address_from(peer),
-                path,
-                request,
-                request_timeout_ms,
-                done);
+      link::send_request(daemon.io,
+                         daemon.links,
+                         link::address_from(peer),
+                         path,
+                         request,
+                         request_timeout_ms,
+                         done);
     });
   }
 
--- a/cactusford/rollout/client.cc
+++ b/cactusford/rollout/client.cc
@@ -141,7 +141,7 @@
   for (std::uint32_t i = 0; i < b.step_size; ++i) {
     held += is_received(s.at.received, i) ? 1 : 0;
   }
-  b.step_whole = b.step_size > 0 && held == b.step_size;
+  b.step_complete = b.step_size > 0 && held == b.step_size;
   return { std::move(b), {} };
 }
 
@@ -151,7 +151,7 @@
   auto& s = *state_;
   // The same id on every repeat, or a lost answer would look like a conflict.
   if (s.publish_id.empty()) {
-    s.publish_id = process::new_id();
+    s.publish_id = process::generate_id();
   }
   publish_request request;
   request.set_trainer(s.options.name_);
--- a/cactusford/rollout/step.h
+++ b/cactusford/rollout/step.h
@@ -24,7 +24,7 @@
 {
   slot_phase phase = slot_phase::waiting;
   // Attempts of the whole sample: a dropped stale one begins anew.
-  std::uint32_t tries = 0;
+  std::uint32_t attempts = 0;
   std::uint64_t started_ms = 0;
   std::uint64_t tokens = 0;
   // Calls under way for it: two while a duplicate runs.
@@ -59,7 +59,7 @@
 
 // The call of a slot failed for good: it waits again.
 void
-put_back(step& s, std::uint32_t index);
+release_slot(step& s, std::uint32_t index);
 
 // False when the slot is filled already: the sample is a duplicate to drop.
 bool
--- a/cactusford/timeline/history.cc
+++ b/cactusford/timeline/history.cc
@@ -417,9 +417,9 @@
       version = std::max(version, e.number("version"));
     } else if (e.name == "configuration_accepted") {
       for (const auto& [process, spans] : lives) {
-        if (was_up(spans, e.at.ms, e.at.ms + l.in_force_ms) &&
-            e.at.ms + l.in_force_ms <= last &&
-            delay_of(all, process, e) > l.in_force_ms) {
+        if (was_up(spans, e.at.ms, e.at.ms + l.max_propagation_ms) &&
+            e.at.ms + l.max_propagation_ms <= last &&
+            delay_of(all, process, e) > l.max_propagation_ms) {
           fail(r,
                e,
                object_of(e) + " version " + e.value("version") +
@@ -481,7 +481,7 @@
 }
 
 std::uint64_t
-longest_in_force_ms(const std::vector<record>& records)
+longest_propagation_ms(const std::vector<record>& records)
 {
   const auto all = applied_of(records);
   const auto lives = lives_of(records);
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -516,8 +516,8 @@
     }
   }
   command.insert(command.end(), arguments.begin(), arguments.end());
-  const auto output =
-    options_.folder + "/operator-" + cactusford::process::new_id() + ".out";
+  const auto output = options_.folder + "/operator-" +
+                      cactusford::process::generate_id() + ".out";
   const auto pid = spawn_program(command, output);
   int status = 0;
   waitpid(pid, &status, 0);
--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -56,7 +56,7 @@
     c.respond({ 503, { { "Id", item }, { "Not-Run", "1" } }, "" });
     return;
   }
-  const auto last_event = http::number(r.fields, "Last").value_or(0);
+  const auto last_event = http::find_number(r.fields, "Last").value_or(0);
   runs.push_back({ item, last_event });
   if (!poison_body.empty() && r.body == poison_body) {
     auto timer = std::make_shared<asio::steady_timer>(
@@ -69,7 +69,7 @@
     return;
   }
   ++streaming;
-  c.on_gone([this] { --streaming; });
+  c.on_disconnect([this] { --streaming; });
   c.begin(200, { { "Id", item }, { "Version", std::to_string(version) } });
   stream(c, item, last_event + 1);
 }
--- a/standins/trainer.cc
+++ b/standins/trainer.cc
@@ -101,7 +101,7 @@
       log_sample(s, sample, batch.value, client.position());
       ++samples;
     }
-    if (!batch.value.step_whole) {
+    if (!batch.value.step_complete) {
       continue;
     }
     const auto waited_ms = process::steady_ms() - wait_started_ms;
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -45,7 +45,7 @@
 is_quarantined(const answer& a)
 {
   constexpr std::uint64_t min_retry_after_s = 60;
-  const auto retry_after_s = http::number(a.value.fields, "Retry-After");
+  const auto retry_after_s = http::find_number(a.value.fields, "Retry-After");
   return a.value.status == 503 &&
          retry_after_s.value_or(0) >= min_retry_after_s;
 }
@@ -195,7 +195,7 @@
         { { "Host", "h" }, { "Id", id }, { "Wait", "2000" } },
         body },
       o,
-      [this](http::end_state end, http::response&& response) {
+      [this](http::exchange_outcome end, http::response&& response) {
         --in_flight;
         quarantined += is_quarantined({ end, std::move(response) }) ? 1 : 0;
       });
