--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -22,7 +22,7 @@
 // Tokens are sent once per scheduler period, because a fast engine would
 // otherwise send one event per token.
 constexpr double scheduler_period_us = 10000;
-constexpr std::uint64_t tokens_per_char = 4;
+constexpr std::uint64_t chars_per_token = 4;
 
 std::uint64_t
 hash(const std::string& text, std::uint64_t seed)
@@ -165,7 +165,7 @@
   s->total_tokens =
     response_length(s->request_id, body.value("max_tokens", 16U));
   s->arrival = arrivals_++;
-  const auto prompt_tokens = prompt.size() / tokens_per_char + 64;
+  const auto prompt_tokens = prompt.size() / chars_per_token + 64;
   s->kv_used = prompt_tokens + s->next_token;
   auto prefill_tokens = s->kv_used;
   const auto cached =
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -85,6 +85,7 @@
     std::uint64_t kv_used = 0;
     // Prefill time that is still to be spent.
     double prefill_us = 0;
+    // Weight version of the latest chunk.
     std::uint64_t version = 0;
     bool done = false;
     bool cancelled = false;
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -29,8 +29,8 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-constexpr std::uint32_t start_limit_ms = 20000;
-constexpr std::uint32_t stop_limit_ms = 15000;
+constexpr std::uint32_t start_timeout_ms = 20000;
+constexpr std::uint32_t stop_timeout_ms = 15000;
 
 void
 sleep_for_ms(std::uint32_t ms)
@@ -70,8 +70,8 @@
 {
   std::vector<std::string> standins;
   std::vector<std::string> daemons;
-  for (const auto& [name, p] : processes_) {
-    auto& group = p.list_entry.is_null() ? standins : daemons;
+  for (const auto& [name, process] : processes_) {
+    auto& group = process.list_entry.is_null() ? standins : daemons;
     group.push_back(name);
   }
   for (const auto* group : { &daemons, &standins }) {
@@ -82,7 +82,7 @@
       }
     }
     for (const auto& name : *group) {
-      if (wait_exit(name, stop_limit_ms) < 0) {
+      if (wait_exit(name, stop_timeout_ms) < 0) {
         signal(name, SIGKILL);
       }
     }
@@ -106,12 +106,12 @@
 std::string
 fleet::spawn(const std::string& name)
 {
-  auto& p = processes_.at(name);
+  auto& process = processes_.at(name);
   const auto base = options_.folder + "/" + name;
   fs::remove(base + ".ports");
-  std::ofstream{ base + ".json" } << p.settings.dump(2) << "\n";
-  p.pid = spawn_program(
-    { options_.programs + "/" + p.program, "--settings", base + ".json" },
+  std::ofstream{ base + ".json" } << process.settings.dump(2) << "\n";
+  process.pid = spawn_program(
+    { options_.programs + "/" + process.program, "--settings", base + ".json" },
     base + ".out");
   return wait_for_ports(name)
            ? std::string{}
@@ -121,14 +121,14 @@
 bool
 fleet::wait_for_ports(const std::string& name)
 {
-  auto& p = processes_.at(name);
+  auto& process = processes_.at(name);
   const auto path = options_.folder + "/" + name + ".ports";
-  for (std::uint32_t waited = 0; waited < start_limit_ms; waited += 10) {
+  for (std::uint32_t waited = 0; waited < start_timeout_ms; waited += 10) {
     if (fs::exists(path)) {
-      p.ports.clear();
+      process.ports.clear();
       const auto bound = read_json(path);
       for (const auto& [port, number] : bound.items()) {
-        p.ports[port] = number;
+        process.ports[port] = number;
       }
       return true;
     }
@@ -196,9 +196,9 @@
   if (!options_.split_backends) {
     processes_["backends"] = { "cactusford-standin", shared, nullptr, 0, {} };
   }
-  for (auto& [name, p] : processes_) {
-    p.settings["log"] = options_.folder + "/" + name + ".log";
-    p.settings["ports_file"] = options_.folder + "/" + name + ".ports";
+  for (auto& [name, process] : processes_) {
+    process.settings["log"] = options_.folder + "/" + name + ".log";
+    process.settings["ports_file"] = options_.folder + "/" + name + ".ports";
   }
 }
 
@@ -232,7 +232,7 @@
   processes_["platform"] = { "cactusford-standin", s, nullptr, 0, {} };
   add_backends();
   std::vector<std::string> names;
-  for (const auto& [name, p] : processes_) {
+  for (const auto& [name, process] : processes_) {
     names.push_back(name);
   }
   for (const auto& name : names) {
@@ -279,7 +279,7 @@
   }
   update_instance_list(daemons);
   for (const auto& name : daemons) {
-    if (!wait_ready(name, start_limit_ms)) {
+    if (!wait_ready(name, start_timeout_ms)) {
       return name + " did not become ready";
     }
   }
@@ -291,11 +291,11 @@
             const std::string& path,
             const json& body) const
 {
-  const auto a = link::address_from(address);
-  httplib::Client c{ a.ip, a.port };
-  c.set_read_timeout(std::chrono::seconds{ 5 });
-  const auto r = c.Post(path, body.dump(), "application/json");
-  return r && r->status == 200;
+  const auto endpoint = link::address_from(address);
+  httplib::Client client{ endpoint.ip, endpoint.port };
+  client.set_read_timeout(std::chrono::seconds{ 5 });
+  const auto response = client.Post(path, body.dump(), "application/json");
+  return response && response->status == 200;
 }
 
 void
@@ -303,9 +303,9 @@
 {
   auto list_entries = json::array();
   for (const auto& name : names) {
-    auto& p = processes_.at(name);
-    p.list_entry["link"] = address(name, "link");
-    list_entries.push_back(p.list_entry);
+    auto& process = processes_.at(name);
+    process.list_entry["link"] = address(name, "link");
+    list_entries.push_back(process.list_entry);
   }
   post(address("platform", "platform"), "/control/instances", list_entries);
 }
@@ -337,10 +337,10 @@
 void
 fleet::restart_backend(const std::string& name)
 {
-  auto& p = processes_.at(name);
+  auto& process = processes_.at(name);
   for (const auto* group : { "engines", "services" }) {
-    if (p.settings.contains(group)) {
-      p.settings[group][0]["address"] = address(name, name);
+    if (process.settings.contains(group)) {
+      process.settings[group][0]["address"] = address(name, name);
     }
   }
   spawn(name);
@@ -349,12 +349,12 @@
 bool
 fleet::wait_ready(const std::string& name, std::uint32_t limit_ms)
 {
-  const auto a = link::address_from(address(name, "admin"));
+  const auto endpoint = link::address_from(address(name, "admin"));
   const auto end = cactusford::process::steady_ms() + limit_ms;
   while (cactusford::process::steady_ms() < end && is_running(name)) {
-    httplib::Client c{ a.ip, a.port };
-    const auto r = c.Get("/readyz");
-    if (r && r->status == 200) {
+    httplib::Client client{ endpoint.ip, endpoint.port };
+    const auto response = client.Get("/readyz");
+    if (response && response->status == 200) {
       return true;
     }
     sleep_for_ms(20);
@@ -365,13 +365,13 @@
 bool
 fleet::is_running(const std::string& name)
 {
-  auto& p = processes_.at(name);
-  if (p.pid == 0) {
+  auto& process = processes_.at(name);
+  if (process.pid == 0) {
     return false;
   }
   int status = 0;
-  if (waitpid(p.pid, &status, WNOHANG) == p.pid) {
-    p.pid = 0;
+  if (waitpid(process.pid, &status, WNOHANG) == process.pid) {
+    process.pid = 0;
     return false;
   }
   return true;
@@ -386,17 +386,18 @@
 json
 fleet::platform_counts() const
 {
-  const auto a = link::address_from(address("platform", "platform"));
-  httplib::Client c{ a.ip, a.port };
-  const auto r = c.Get("/control/counts");
-  return r ? json::parse(r->body, nullptr, false) : json::object();
+  const auto endpoint = link::address_from(address("platform", "platform"));
+  httplib::Client client{ endpoint.ip, endpoint.port };
+  const auto response = client.Get("/control/counts");
+  return response ? json::parse(response->body, nullptr, false)
+                  : json::object();
 }
 
 void
 fleet::signal(const std::string& name, int signal_number)
 {
-  auto& p = processes_.at(name);
-  if (p.pid == 0) {
+  auto& process = processes_.at(name);
+  if (process.pid == 0) {
     return;
   }
   const auto* event_name = signal_number == SIGKILL   ? "process_killed"
@@ -404,28 +405,28 @@
                            : signal_number == SIGCONT ? "process_resumed"
                                                       : "process_signalled";
   timeline::log(timeline::event{ event_name }.with("target", name));
-  kill(p.pid, signal_number);
+  kill(process.pid, signal_number);
   if (signal_number == SIGKILL) {
     int status = 0;
-    waitpid(p.pid, &status, 0);
-    p.pid = 0;
+    waitpid(process.pid, &status, 0);
+    process.pid = 0;
   }
 }
 
 int
 fleet::wait_exit(const std::string& name, std::uint32_t limit_ms)
 {
-  auto& p = processes_.at(name);
-  for (std::uint32_t waited = 0; p.pid != 0 && waited < limit_ms;
+  auto& process = processes_.at(name);
+  for (std::uint32_t waited = 0; process.pid != 0 && waited < limit_ms;
        waited += 10) {
     int status = 0;
-    if (waitpid(p.pid, &status, WNOHANG) == p.pid) {
-      p.pid = 0;
+    if (waitpid(process.pid, &status, WNOHANG) == process.pid) {
+      process.pid = 0;
       return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
     }
     sleep_for_ms(10);
   }
-  return p.pid == 0 ? 0 : -1;
+  return process.pid == 0 ? 0 : -1;
 }
 
 // Returns the link addresses of a few running instances. A process that starts
@@ -435,8 +436,8 @@
 {
   constexpr std::size_t max_links = 4;
   std::vector<std::string> links;
-  for (const auto& [name, p] : processes_) {
-    if (name != excluded && !p.list_entry.is_null() &&
+  for (const auto& [name, process] : processes_) {
+    if (name != excluded && !process.list_entry.is_null() &&
         links.size() < max_links && is_running(name)) {
       links.push_back(address(name, "link"));
     }
@@ -447,18 +448,18 @@
 std::string
 fleet::respawn(const std::string& name)
 {
-  auto& p = processes_.at(name);
-  if (!p.list_entry.is_null()) {
-    p.settings["peers"] = peer_links(name);
+  auto& process = processes_.at(name);
+  if (!process.list_entry.is_null()) {
+    process.settings["peers"] = peer_links(name);
   }
   // The rpc port must not change, because trainers know the entries only by
   // address, as behind a load balancer.
-  if (p.ports.contains("rpc")) {
-    p.settings["rpc"] = address(name, "rpc");
+  if (process.ports.contains("rpc")) {
+    process.settings["rpc"] = address(name, "rpc");
   }
   auto error = spawn(name);
-  if (error.empty() && !p.list_entry.is_null()) {
-    p.list_entry["state"] = "live";
+  if (error.empty() && !process.list_entry.is_null()) {
+    process.list_entry["state"] = "live";
     update_instance_list({ name });
   }
   return error;
@@ -469,7 +470,7 @@
 {
   auto error = respawn(name);
   const bool is_daemon = !processes_.at(name).list_entry.is_null();
-  if (error.empty() && is_daemon && !wait_ready(name, start_limit_ms)) {
+  if (error.empty() && is_daemon && !wait_ready(name, start_timeout_ms)) {
     error = name + " did not become ready";
   }
   return error;
@@ -491,8 +492,8 @@
 fleet::entries() const
 {
   std::vector<std::string> names;
-  for (const auto& [name, p] : processes_) {
-    if (p.program == "cactusford-entry") {
+  for (const auto& [name, process] : processes_) {
+    if (process.program == "cactusford-entry") {
       names.push_back(name);
     }
   }
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -128,6 +128,8 @@
   // Sends the list entries of these instances to the platform.
   void update_instance_list(const std::vector<std::string>& names);
   std::vector<std::string> peer_links(const std::string& excluded);
+  // Returns the settings that all daemons have. `index` selects the data
+  // centre.
   nlohmann::json common_settings(const std::string& name,
                                  std::size_t index) const;
   bool post(const std::string& address,
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -32,7 +32,7 @@
 }
 
 // Writes the bound ports to `ports_file`. The file appears under its name only
-// when it is complete, because tests wait for it.
+// when it is complete, because the parent process waits for it.
 void
 write_ports(const json& settings, const json& ports)
 {
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -106,11 +106,11 @@
 }
 
 store::reply
-decode_reply(const store::call&, const http::response& a)
+decode_reply(const store::call&, const http::response& response)
 {
   store::reply r;
-  const auto j = store::parse_leniently(a.body).value;
-  if (a.status == 503) {
+  const auto j = store::parse_leniently(response.body).value;
+  if (response.status == 503) {
     r.result = store::call_result::refused;
     return r;
   }
@@ -209,15 +209,15 @@
 table_from(const store::object& o)
 {
   return store::try_decode([&] {
-    routes::table t;
-    t.version = store::uint_field(o.spec, "version");
+    routes::table table;
+    table.version = store::uint_field(o.spec, "version");
     for (const auto& r : store::array_field(o.spec, "routes")) {
-      t.routes.push_back(route_from(r));
+      table.routes.push_back(route_from(r));
     }
     if (o.spec.contains("workspaces")) {
-      t.workspaces = workspaces_from(o.spec.at("workspaces"));
+      table.workspaces = workspaces_from(o.spec.at("workspaces"));
     }
-    return t;
+    return table;
   });
 }
 
@@ -271,8 +271,8 @@
   d.kinds = { "configuration", "main", "backends", "versions", "retired" };
   d.version_line = "version";
   d.store.encode = [](const store::call& c) {
-    // Identical watches of several clients are joined by their target, so it
-    // contains the kind and the revision.
+    // Identical watches of several instances are joined by their target, so the
+    // target contains the kind and the revision.
     const auto target = "/" + c.kind + "?since=" + std::to_string(c.since);
     return http::request{
       "POST", target, { { "Host", "s" } }, to_json(c).dump()
@@ -385,9 +385,9 @@
 void
 object_store::tick()
 {
-  auto t =
+  auto timer =
     std::make_shared<http::timer>(io_, std::chrono::milliseconds{ tick_ms });
-  t->async_wait([this, t](asio::error_code ec) {
+  timer->async_wait([this, timer](asio::error_code ec) {
     if (!ec) {
       respond_to_watches();
       tick();
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -12,6 +12,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
+// Each pending watch occupies a thread.
 constexpr std::size_t thread_count = 160;
 
 json
@@ -150,34 +151,38 @@
     respond_json(response, 404, { { "error", "not found" } });
     return;
   }
-  const auto* e = &found->second;
+  const auto* object = &found->second;
   if (faults_.stale_by > 0) {
     const auto max_version =
       revision_ > faults_.stale_by ? revision_ - faults_.stale_by : 0;
     auto& versions = history_[key];
     const auto newer = versions.upper_bound(max_version);
     if (newer != versions.begin()) {
-      e = &std::prev(newer)->second;
+      object = &std::prev(newer)->second;
     }
   }
-  respond_json(
-    response,
-    200,
-    to_json(e->kind, e->name, e->version, e->deleted, e->spec, e->request_id));
+  respond_json(response,
+               200,
+               to_json(object->kind,
+                       object->name,
+                       object->version,
+                       object->deleted,
+                       object->spec,
+                       object->request_id));
 }
 
 std::uint64_t
-platform::store(stored_object e)
+platform::store(stored_object object)
 {
-  e.version = ++revision_;
-  const auto key = e.kind + "/" + e.name;
+  object.version = ++revision_;
+  const auto key = object.kind + "/" + object.name;
   timeline::log(timeline::event{ "platform_stored" }
-                  .with("kind", e.kind)
-                  .with("name", e.name)
-                  .with("version", e.version)
-                  .with("request", e.request_id));
-  history_[key][e.version] = e;
-  objects_[key] = std::move(e);
+                  .with("kind", object.kind)
+                  .with("name", object.name)
+                  .with("version", object.version)
+                  .with("request", object.request_id));
+  history_[key][object.version] = object;
+  objects_[key] = std::move(object);
   changed_.notify_all();
   return revision_;
 }
@@ -194,13 +199,13 @@
     return;
   }
   std::unique_lock lock{ mutex_ };
-  stored_object e;
-  e.kind = request.matches[1];
-  e.name = request.matches[2];
-  e.spec = body.value("spec", std::string{});
-  e.request_id = body.value("request_id", std::string{});
-  e.deleted = body.value("deleted", false);
-  const auto found = objects_.find(e.kind + "/" + e.name);
+  stored_object object;
+  object.kind = request.matches[1];
+  object.name = request.matches[2];
+  object.spec = body.value("spec", std::string{});
+  object.request_id = body.value("request_id", std::string{});
+  object.deleted = body.value("deleted", false);
+  const auto found = objects_.find(object.kind + "/" + object.name);
   const auto version = found == objects_.end() ? 0 : found->second.version;
   const bool is_deleted = found != objects_.end() && found->second.deleted;
   const auto expected = body.value("expected_version", std::uint64_t{ 0 });
@@ -208,7 +213,7 @@
     respond_json(response, 409, { { "version", version } });
     return;
   }
-  const auto new_version = store(std::move(e));
+  const auto new_version = store(std::move(object));
   if (faults_.lose_answers > 0) {
     --faults_.lose_answers;
     lock.unlock();
@@ -225,10 +230,15 @@
 platform::changed_since(std::uint64_t since, const std::string& exclude)
 {
   auto items = json::array();
-  for (const auto& [key, e] : objects_) {
-    if (e.version > since && exclude.find(e.kind) == std::string::npos) {
-      items.push_back(
-        to_json(e.kind, e.name, e.version, e.deleted, e.spec, e.request_id));
+  for (const auto& [key, object] : objects_) {
+    if (object.version > since &&
+        exclude.find(object.kind) == std::string::npos) {
+      items.push_back(to_json(object.kind,
+                              object.name,
+                              object.version,
+                              object.deleted,
+                              object.spec,
+                              object.request_id));
     }
   }
   return items;
@@ -288,20 +298,20 @@
                       milliseconds{ settings_.list_lag_ms },
                       [this] { return stopped_; });
     for (const auto& item : body) {
-      stored_object e;
-      e.kind = "instance";
-      e.name = item.at("id");
-      e.deleted = item.value("gone", false);
+      stored_object object;
+      object.kind = "instance";
+      object.name = item.at("id");
+      object.deleted = item.value("gone", false);
       auto spec = item;
       spec.erase("id");
-      e.spec = spec.dump();
-      e.request_id = "list";
-      const auto current = objects_.find("instance/" + e.name);
+      object.spec = spec.dump();
+      object.request_id = "list";
+      const auto current = objects_.find("instance/" + object.name);
       const bool is_unchanged = current != objects_.end() &&
-                                current->second.spec == e.spec &&
-                                current->second.deleted == e.deleted;
+                                current->second.spec == object.spec &&
+                                current->second.deleted == object.deleted;
       if (!is_unchanged) {
-        store(std::move(e));
+        store(std::move(object));
       }
     }
   });
--- a/standins/platform.h
+++ b/standins/platform.h
@@ -78,7 +78,7 @@
   void set_faults(const httplib::Request& request, httplib::Response& response);
   void set_instances(const httplib::Request& request,
                      httplib::Response& response);
-  std::uint64_t store(stored_object e);
+  std::uint64_t store(stored_object object);
   // Returns the objects that changed after a revision, except those whose kind
   // occurs in `exclude`.
   nlohmann::json changed_since(std::uint64_t since, const std::string& exclude);
@@ -96,7 +96,7 @@
   token_bucket reads_;
   // Number of calls by operation.
   std::map<std::string, std::uint64_t> counts_;
-  // Apply changes of the instance list after `list_lag_ms`.
+  // Threads that apply changes of the instance list after `list_lag_ms`.
   std::vector<std::thread> list_updates_;
   bool stopped_ = false;
 };
--- a/standins/stream_engine.cc
+++ b/standins/stream_engine.cc
@@ -97,8 +97,8 @@
       c.finish();
       return;
     }
-    const bool first_run = runs.back().resumed_at == 0;
-    if (next_event == abort_inside_event && first_run) {
+    const bool is_first_run = runs.back().resumed_at == 0;
+    if (next_event == abort_inside_event && is_first_run) {
       c.write("id: " + std::to_string(next_event) + "\nda");
       --streaming;
       c.abort();
