--- a/cactusford/timeline/clock.cc
+++ b/cactusford/timeline/clock.cc
@@ -10,11 +10,12 @@
 
 constexpr std::uint32_t counter_limit = 0xffff;
 
-// A peer whose clock is wrong by days must not drag all others with it.
+// Timestamps further ahead are ignored, so that a peer whose clock is wrong by
+// days does not advance the clocks of all others.
 constexpr std::uint64_t max_ahead_ms = 24ULL * 3600 * 1000;
 
 timestamp
-successor(timestamp t)
+next_after(timestamp t)
 {
   if (t.counter < counter_limit) {
     return { t.ms, t.counter + 1 };
@@ -24,7 +25,7 @@
 
 template<typename T>
 bool
-parse_whole(std::string_view text, T& value)
+parse_number(std::string_view text, T& value)
 {
   const auto* end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, value);
@@ -47,8 +48,8 @@
     return std::nullopt;
   }
   timestamp t;
-  if (!parse_whole(text.substr(0, dot), t.ms) ||
-      !parse_whole(text.substr(dot + 1), t.counter)) {
+  if (!parse_number(text.substr(0, dot), t.ms) ||
+      !parse_number(text.substr(dot + 1), t.counter)) {
     return std::nullopt;
   }
   return t;
@@ -83,17 +84,17 @@
 {
   const auto wall = wall_();
   const std::lock_guard lock{ mutex_ };
-  last_ = std::max(successor(last_), timestamp{ wall, 0 });
+  last_ = std::max(next_after(last_), timestamp{ wall, 0 });
   return last_;
 }
 
 void
-clock::observe(timestamp seen)
+clock::observe(timestamp received)
 {
   const auto wall = wall_();
   const std::lock_guard lock{ mutex_ };
-  if (seen.ms <= wall + max_ahead_ms) {
-    last_ = std::max(last_, seen);
+  if (received.ms <= wall + max_ahead_ms) {
+    last_ = std::max(last_, received);
   }
 }
 
--- a/cactusford/timeline/clock.h
+++ b/cactusford/timeline/clock.h
@@ -1,5 +1,5 @@
-// Hybrid logical clock (Kulkarni et al., 2014): orders events of all processes
-// so that a cause stands before its effect whatever the wall clocks say.
+// Hybrid logical clock (Kulkarni et al., 2014). Orders the events of all
+// processes so that a cause precedes its effect even if wall clocks differ.
 #pragma once
 
 #include <compare>
@@ -21,14 +21,15 @@
   friend auto operator<=>(const timestamp&, const timestamp&) = default;
 };
 
-// "ms.counter".
+// Formats as "ms.counter".
 std::string
 to_string(timestamp t);
 
 std::optional<timestamp>
 timestamp_from(std::string_view text);
 
-// 48 bits of milliseconds, 16 bits of counter.
+// Encodes the milliseconds in the upper 48 bits and the counter in the lower
+// 16 bits.
 std::uint64_t
 pack(timestamp t) noexcept;
 
@@ -38,7 +39,7 @@
 std::uint64_t
 wall_ms();
 
-// Safe to call from several threads.
+// Thread-safe.
 class clock
 {
 public:
@@ -46,11 +47,12 @@
 
   explicit clock(source wall = wall_ms);
 
-  // A timestamp later than all before it.
+  // Returns a timestamp later than all returned or observed before.
   timestamp now();
 
-  // Takes in the timestamp of a message.
-  void observe(timestamp seen);
+  // Advances the clock to the timestamp of a received message. Ignores one that
+  // is more than a day ahead of the wall clock.
+  void observe(timestamp received);
 
 private:
   source wall_;
--- a/cactusford/timeline/event.cc
+++ b/cactusford/timeline/event.cc
@@ -57,9 +57,10 @@
   }
 }
 
-// Reads one value and moves `rest` behind it.
+// Removes a value from the start of `rest` and returns it. Returns nothing if a
+// quoted value has no closing quote.
 std::optional<std::string>
-take_value(std::string_view& rest)
+consume_value(std::string_view& rest)
 {
   std::string value;
   if (rest.empty() || rest.front() != '"') {
@@ -142,7 +143,7 @@
     }
     const std::string key{ line.substr(0, equals) };
     line.remove_prefix(equals + 1);
-    auto value = take_value(line);
+    auto value = consume_value(line);
     if (!value) {
       return std::nullopt;
     }
--- a/cactusford/timeline/event.h
+++ b/cactusford/timeline/event.h
@@ -1,4 +1,4 @@
-// Structured log: one line of key=value pairs an event.
+// Structured log with one line of key=value pairs per event.
 #pragma once
 
 #include "cactusford/timeline/clock.h"
@@ -11,7 +11,8 @@
 
 namespace cactusford::timeline {
 
-// Builds one line. Values with blanks or quotes are quoted.
+// Builds a log line. Values that are empty, long or contain spaces, quotes or
+// other special characters are quoted.
 class event
 {
 public:
@@ -28,7 +29,7 @@
   std::string text_;
 };
 
-// A line read back from a log.
+// A parsed log line.
 struct record
 {
   timestamp at;
@@ -36,17 +37,20 @@
   std::string name;
   std::map<std::string, std::string> values;
 
-  // Empty when the key is absent.
+  // Returns an empty string if the key is absent.
   const std::string& value(const std::string& key) const;
+  // Returns 0 if the key is absent or its value is not a number.
   std::uint64_t number(const std::string& key) const;
 };
 
-// Nothing when the line is not an event, such as one cut by a crash.
+// Returns nothing if the line is not a complete event, for example because it
+// was truncated by a crash.
 std::optional<record>
 parse(std::string_view line);
 
-// Opens the log of this process. An empty `path` writes to standard error.
-// Call it before the first event; a later call changes to another file.
+// Opens the log of this process. An empty `path` selects standard error. Must
+// be called before the first event is logged. A later call switches to another
+// file.
 void
 open_log(const std::string& path, const std::string& process);
 
--- a/cactusford/timeline/history-test.cc
+++ b/cactusford/timeline/history-test.cc
@@ -10,12 +10,12 @@
 namespace {
 
 std::vector<record>
-records_of(const std::vector<std::string>& lines)
+parse_lines(const std::vector<std::string>& lines)
 {
   std::vector<record> records;
   std::uint64_t ms = 1000;
   for (const auto& line : lines) {
-    // A line may name its own time, to stand far behind the one before.
+    // A line may set its own time, to be much later than the previous one.
     const auto at = line.starts_with("hlc=")
                       ? line
                       : "hlc=" + std::to_string(++ms) + ".0 " + line;
@@ -27,7 +27,7 @@
   return records;
 }
 
-const std::vector<std::string> good{
+const std::vector<std::string> valid_lines{
   "process=e event=process_started",
   "process=e event=configuration_ready version=0",
   "process=s event=process_started",
@@ -50,14 +50,14 @@
   "hlc=60000.0 process=l event=end",
 };
 
-// The promises that break when the lines are put behind the good ones.
+// Returns the promises that are broken when the lines follow the valid ones.
 std::string
-broken_by(const std::vector<std::string>& more)
+promises_broken_by(const std::vector<std::string>& more)
 {
-  auto lines = good;
+  auto lines = valid_lines;
   lines.insert(lines.end() - 1, more.begin(), more.end());
   std::string names;
-  for (const auto& r : check_history(records_of(lines), {})) {
+  for (const auto& r : check_history(parse_lines(lines), {})) {
     if (!r.violations.empty()) {
       names += (names.empty() ? "" : " ") + r.promise;
     }
@@ -67,25 +67,25 @@
 
 } // namespace
 
-// A checker that never fails proves nothing: each promise is broken once on
-// purpose, and the checker must name that promise and no other.
-Test(history, names_each_broken_promise)
+// Guards against a checker that misses violations. Each section breaks one
+// promise, and the checker must report this one and no other.
+Test(history, reports_each_broken_promise)
 {
-  cr_assert_eq(broken_by({}), "");
-  SECTION("a sample names a version that did not produce it")
+  cr_assert_eq(promises_broken_by({}), "");
+  SECTION("a sample reports a version that did not produce it")
   {
-    cr_assert_eq(
-      broken_by({ "process=e event=call_sent request=s2 attempt=1",
-                  "process=b event=engine_run request=s2 attempt=1 from=0 "
-                  "weight_version=1",
-                  "process=t event=sample_received trainer=t step=2 slot=0 "
-                  "sample=s2 runs=2:10 bound=1 version=2" }),
-      "attribution");
+    cr_assert_eq(promises_broken_by(
+                   { "process=e event=call_sent request=s2 attempt=1",
+                     "process=b event=engine_run request=s2 attempt=1 from=0 "
+                     "weight_version=1",
+                     "process=t event=sample_received trainer=t step=2 slot=0 "
+                     "sample=s2 runs=2:10 bound=1 version=2" }),
+                 "attribution");
   }
-  SECTION("what a cut attempt produced does not count")
+  SECTION("tokens of an attempt after its connection was lost do not count")
   {
     cr_assert_eq(
-      broken_by(
+      promises_broken_by(
         { "process=e event=call_sent request=s2 attempt=1",
           "process=b event=engine_run request=s2 attempt=1 from=0 "
           "weight_version=1",
@@ -100,79 +100,84 @@
   }
   SECTION("a sample is older than its bound")
   {
-    cr_assert_eq(
-      broken_by({ "process=e event=call_sent request=s2 attempt=1",
-                  "process=b event=engine_run request=s2 attempt=1 from=0 "
-                  "weight_version=1",
-                  "process=t event=sample_received trainer=t step=2 slot=0 "
-                  "sample=s2 runs=1:10 bound=1 version=3" }),
-      "staleness");
+    cr_assert_eq(promises_broken_by(
+                   { "process=e event=call_sent request=s2 attempt=1",
+                     "process=b event=engine_run request=s2 attempt=1 from=0 "
+                     "weight_version=1",
+                     "process=t event=sample_received trainer=t step=2 slot=0 "
+                     "sample=s2 runs=1:10 bound=1 version=3" }),
+                 "staleness");
   }
-  SECTION("a slot comes twice")
+  SECTION("a slot is delivered twice")
   {
-    cr_assert_eq(
-      broken_by({ "process=t event=sample_received trainer=t step=1 slot=0 "
-                  "sample=s1 runs=1:10,2:5 bound=1 version=2" }),
-      "exactly_once");
+    cr_assert_eq(promises_broken_by(
+                   { "process=t event=sample_received trainer=t step=1 slot=0 "
+                     "sample=s1 runs=1:10,2:5 bound=1 version=2" }),
+                 "exactly_once");
   }
-  SECTION("a step is called whole and is not")
+  SECTION("a step is completed without all samples")
   {
     cr_assert_eq(
-      broken_by({ "process=t event=step_completed trainer=t step=2 size=1" }),
+      promises_broken_by(
+        { "process=t event=step_completed trainer=t step=2 size=1" }),
       "exactly_once");
   }
-  SECTION("a part of an answer, or another's, is taken for whole")
+  SECTION("an incomplete or wrong response is accepted")
   {
-    cr_assert_eq(broken_by({ "process=l event=answer_received request=q3 "
-                             "outcome=answered whole=0" }),
-                 "whole_answer");
+    cr_assert_eq(
+      promises_broken_by({ "process=l event=answer_received request=q3 "
+                           "outcome=answered whole=0" }),
+      "whole_answer");
   }
-  SECTION("a request said to be not run ran")
+  SECTION("a request reported as not run was executed")
   {
-    cr_assert_eq(broken_by({ "process=b event=service_executed id=q2" }),
-                 "not_run");
+    cr_assert_eq(
+      promises_broken_by({ "process=b event=service_executed id=q2" }),
+      "not_run");
   }
-  SECTION("a key runs twice")
+  SECTION("a call with the same key runs twice")
   {
-    cr_assert_eq(broken_by({ "process=b event=service_executed id=k1" }),
-                 "at_most_once");
+    cr_assert_eq(
+      promises_broken_by({ "process=b event=service_executed id=k1" }),
+      "at_most_once");
   }
-  SECTION("a leaving backend server gets work after the limit")
+  SECTION("a leaving backend server receives a call after the limit")
   {
     cr_assert_eq(
-      broken_by({ "process=d event=process_started",
-                  "process=d event=process_leaving",
-                  "hlc=9000.0 process=d event=call_started request=x",
-                  "hlc=9001.0 process=d event=call_ended request=x" }),
+      promises_broken_by({ "process=d event=process_started",
+                           "process=d event=process_leaving",
+                           "hlc=9000.0 process=d event=call_started request=x",
+                           "hlc=9001.0 process=d event=call_ended request=x" }),
       "leaving");
   }
-  SECTION("a graceful stop cuts a request off")
+  SECTION("a process stops gracefully with an open request")
   {
-    cr_assert_eq(broken_by({ "process=d event=process_started",
-                             "process=d event=request_accepted request=x",
-                             "process=d event=process_leaving",
-                             "process=d event=process_stopped" }),
-                 "graceful");
+    cr_assert_eq(
+      promises_broken_by({ "process=d event=process_started",
+                           "process=d event=request_accepted request=x",
+                           "process=d event=process_leaving",
+                           "process=d event=process_stopped" }),
+      "graceful");
   }
-  SECTION("a configuration goes back")
+  SECTION("a configuration reverts to an older version")
   {
-    cr_assert_eq(
-      broken_by({ "process=e event=configuration_in_force kind=pool name=p "
-                  "version=3",
-                  "process=e event=configuration_in_force kind=pool name=p "
-                  "version=2" }),
-      "configuration");
+    cr_assert_eq(promises_broken_by(
+                   { "process=e event=configuration_in_force kind=pool name=p "
+                     "version=3",
+                     "process=e event=configuration_in_force kind=pool name=p "
+                     "version=2" }),
+                 "configuration");
   }
   SECTION("an accepted configuration does not come into force")
   {
-    cr_assert_eq(
-      broken_by({ "process=x event=configuration_accepted kind=pool name=q "
-                  "version=9" }),
-      "configuration");
+    cr_assert_eq(promises_broken_by(
+                   { "process=x event=configuration_accepted kind=pool name=q "
+                     "version=9" }),
+                 "configuration");
   }
 }
 
-Test(timeline, a_line_survives_the_way_into_the_log_and_back)
+Test(timeline, parses_the_lines_that_it_writes)
 {
   const auto e = event{ "x" }.with("text", "a \"b\" = c\\d").with("n", 7);
   const auto r = parse("hlc=5.2 process=p" + e.text());
@@ -183,9 +188,9 @@
   cr_assert(!parse("half a li").has_value());
 }
 
-// A message from a process whose clock is ahead: what follows from it must
-// still stand behind it in the merged order.
-Test(timeline, a_cause_stands_before_its_effect)
+// A process whose clock is ahead sends a message. The events that it causes in
+// the receiver must still come later in the merged order.
+Test(timeline, orders_a_cause_before_its_effect)
 {
   cactusford::timeline::clock behind{ [] { return std::uint64_t{ 1000 }; } };
   cactusford::timeline::clock ahead{ [] { return std::uint64_t{ 5000 }; } };
@@ -194,7 +199,7 @@
   const auto effect = behind.now();
   cr_assert(cause < effect);
   cr_assert(unpack(pack(effect)) == effect);
-  SECTION("a clock that is wrong by years drags nobody along")
+  SECTION("a timestamp that is years ahead is ignored")
   {
     behind.observe({ 99'000'000'000'000ULL, 0 });
     cr_assert_lt(behind.now().ms, 99'000'000'000'000ULL);
@@ -203,11 +208,11 @@
 
 Test(timeline, shows_spans_and_events)
 {
-  const auto records = records_of(good);
-  const auto chosen = select(records, "", "s1");
-  cr_assert_eq(chosen.size(), 6);
-  cr_assert(to_text(chosen).find("engine_run") != std::string::npos);
+  const auto records = parse_lines(valid_lines);
+  const auto selected = select(records, "", "s1");
+  cr_assert_eq(selected.size(), 6);
+  cr_assert(to_text(selected).find("engine_run") != std::string::npos);
   cr_assert(to_trace(records).find(R"("ph":"b")") != std::string::npos);
-  auto hostile = records_of({ "process=p event=x text=\"</script>\"" });
+  auto hostile = parse_lines({ "process=p event=x text=\"</script>\"" });
   cr_assert(to_html(hostile).find("</script>\"") == std::string::npos);
 }
--- a/cactusford/timeline/history.cc
+++ b/cactusford/timeline/history.cc
@@ -34,7 +34,7 @@
   }
 }
 
-// "version:tokens,version:tokens".
+// Parses "version:tokens,version:tokens".
 runs
 runs_from(const std::string& text)
 {
@@ -60,29 +60,30 @@
   return total;
 }
 
-// What is known of one request: from which token on each attempt ran, as its
-// entry logged it, and the version from each token on, as the engine of each
-// attempt logged it. A cut attempt may go on unheard on its engine: only what
-// stands before the next attempt's first token counts.
-class truth
+// The weight versions that produced the tokens of a request. The entry logs the
+// first token of each attempt, and the engine of the attempt logs the version
+// from each token on. An engine may continue an attempt after its connection
+// was lost, so tokens from the first token of the next attempt on are ignored.
+class token_history
 {
 public:
-  void on_sent(std::uint64_t attempt, std::uint64_t from)
+  void add_attempt_start(std::uint64_t attempt, std::uint64_t from)
   {
-    sent_[attempt] = from;
+    first_tokens_[attempt] = from;
   }
 
-  void on_run(std::uint64_t attempt, std::uint64_t from, std::uint64_t version)
+  void add_run(std::uint64_t attempt, std::uint64_t from, std::uint64_t version)
   {
-    made_[attempt][from] = version;
+    versions_[attempt][from] = version;
   }
 
+  // Returns the runs that produced the first `tokens` tokens.
   runs first(std::uint64_t tokens) const
   {
     runs r;
-    for (auto a = sent_.begin(); a != sent_.end(); ++a) {
+    for (auto a = first_tokens_.begin(); a != first_tokens_.end(); ++a) {
       const auto next = std::next(a);
-      const auto end = next == sent_.end() ? tokens : next->second;
+      const auto end = next == first_tokens_.end() ? tokens : next->second;
       add_attempt(r, a->first, std::min(end, tokens));
     }
     return r;
@@ -91,8 +92,8 @@
 private:
   void add_attempt(runs& r, std::uint64_t attempt, std::uint64_t end) const
   {
-    const auto found = made_.find(attempt);
-    if (found == made_.end()) {
+    const auto found = versions_.find(attempt);
+    if (found == versions_.end()) {
       return;
     }
     const auto& from = found->second;
@@ -103,8 +104,10 @@
     }
   }
 
-  std::map<std::uint64_t, std::uint64_t> sent_;
-  std::map<std::uint64_t, std::map<std::uint64_t, std::uint64_t>> made_;
+  // Keyed by attempt.
+  std::map<std::uint64_t, std::uint64_t> first_tokens_;
+  // Keyed by attempt, then by the first token of the version.
+  std::map<std::uint64_t, std::map<std::uint64_t, std::uint64_t>> versions_;
 };
 
 void
@@ -118,14 +121,14 @@
 check_attribution(const std::vector<record>& records)
 {
   promise_result r{ "attribution", 0, {} };
-  std::map<std::string, truth> made;
+  std::map<std::string, token_history> requests;
   for (const auto& e : records) {
     if (e.name == "engine_run") {
-      made[e.value("request")].on_run(
+      requests[e.value("request")].add_run(
         e.number("attempt"), e.number("from"), e.number("weight_version"));
     } else if (e.name == "call_sent") {
-      made[e.value("request")].on_sent(e.number("attempt"),
-                                       e.number("resume_from"));
+      requests[e.value("request")].add_attempt_start(e.number("attempt"),
+                                                     e.number("resume_from"));
     }
   }
   for (const auto& e : records) {
@@ -133,10 +136,13 @@
       continue;
     }
     ++r.checked;
-    const auto named = runs_from(e.value("runs"));
-    const auto real = made[e.value("sample")].first(total_of(named));
-    if (named.empty() || named != real) {
-      fail(r, e, "sample " + e.value("sample") + " names " + e.value("runs"));
+    const auto reported = runs_from(e.value("runs"));
+    const auto actual = requests[e.value("sample")].first(total_of(reported));
+    if (reported.empty() || reported != actual) {
+      fail(r,
+           e,
+           "sample " + e.value("sample") + " has wrong versions " +
+             e.value("runs"));
     }
   }
   return r;
@@ -157,7 +163,8 @@
     }
     if (oldest == UINT64_MAX ||
         oldest + e.number("bound") < e.number("version")) {
-      fail(r, e, "sample " + e.value("sample") + " is too old");
+      fail(
+        r, e, "sample " + e.value("sample") + " exceeds its staleness bound");
     }
   }
   return r;
@@ -167,17 +174,20 @@
 check_exactly_once(const std::vector<record>& records)
 {
   promise_result r{ "exactly_once", 0, {} };
-  std::map<std::string, std::set<std::uint64_t>> held;
+  std::map<std::string, std::set<std::uint64_t>> received_slots;
   for (const auto& e : records) {
     const auto step = e.value("trainer") + "/" + e.value("step");
     if (e.name == "sample_received") {
       ++r.checked;
-      if (!held[step].insert(e.number("slot")).second) {
-        fail(r, e, "slot " + e.value("slot") + " of " + step + " came twice");
+      if (!received_slots[step].insert(e.number("slot")).second) {
+        fail(r,
+             e,
+             "slot " + e.value("slot") + " of step " + step +
+               " was delivered twice");
       }
     } else if (e.name == "step_completed" &&
-               held[step].size() != e.number("size")) {
-      fail(r, e, step + " lacks samples");
+               received_slots[step].size() != e.number("size")) {
+      fail(r, e, step + " was completed without all samples");
     }
   }
   return r;
@@ -193,14 +203,17 @@
     }
     ++r.checked;
     if (e.value("outcome") == "answered" && e.value("whole") != "1") {
-      fail(r, e, "request " + e.value("request") + " got a part or another's");
+      fail(r,
+           e,
+           "request " + e.value("request") +
+             " got an incomplete or wrong response");
     }
   }
   return r;
 }
 
-// The id that the service sees: the key of a non-idempotent call, else the
-// request's.
+// Returns the id that the service receives: the key of a non-idempotent call,
+// otherwise the request id.
 std::string
 id_of(const record& e)
 {
@@ -213,14 +226,14 @@
 {
   promise_result r{ "not_run", 0, {} };
   std::map<std::string, const record*> executed;
-  std::set<std::string> other;
+  std::set<std::string> other_outcomes;
   for (const auto& e : records) {
     if (e.name == "service_executed" || e.name == "engine_run") {
       const auto& id =
         e.name == "engine_run" ? e.value("request") : e.value("id");
       executed.emplace(id, &e);
     } else if (e.name == "answer_received" && e.value("outcome") != "not_run") {
-      other.insert(id_of(e));
+      other_outcomes.insert(id_of(e));
     }
   }
   for (const auto& e : records) {
@@ -230,8 +243,8 @@
     ++r.checked;
     const auto id = id_of(e);
     const auto ran = executed.find(id);
-    if (ran != executed.end() && !other.contains(id)) {
-      fail(r, e, "request " + id + " ran");
+    if (ran != executed.end() && !other_outcomes.contains(id)) {
+      fail(r, e, "request " + id + " was reported as not run but ran");
     }
   }
   return r;
@@ -246,7 +259,7 @@
     if (e.name == "answer_received" && !e.value("key").empty()) {
       keys.insert(e.value("key"));
     }
-    // A caller that died has no answer, but its key was sent.
+    // A caller that crashed received no response, but its key was sent.
     if (e.name == "request_accepted" && !e.value("key").empty()) {
       keys.insert(e.value("key"));
     }
@@ -275,33 +288,36 @@
       ++r.checked;
     } else if (e.name == "call_started" && since.contains(e.process) &&
                e.at.ms > since[e.process] + l.leaving_ms) {
-      fail(r, e, "request " + e.value("request") + " began");
+      fail(
+        r, e, "request " + e.value("request") + " started on a leaving server");
     }
   }
   return r;
 }
 
-// What a process has begun and not ended, by request and attempt.
+// A process must not stop before the requests and calls that it started have
+// ended. They are matched by request and attempt.
 promise_result
 check_graceful(const std::vector<record>& records)
 {
   promise_result r{ "graceful", 0, {} };
   std::map<std::string, std::map<std::string, const record*>> open;
   for (const auto& e : records) {
-    auto& mine = open[e.process];
+    auto& open_requests = open[e.process];
     const auto id = e.value("request") + "#" + e.value("attempt");
     if (e.name == "process_started") {
-      mine.clear();
+      open_requests.clear();
     } else if (e.name == "call_started" || e.name == "request_accepted") {
-      mine[id] = &e;
+      open_requests[id] = &e;
     } else if (e.name == "call_ended" || e.name == "request_ended") {
-      mine.erase(id);
+      open_requests.erase(id);
     } else if (e.name == "process_stopped") {
       ++r.checked;
-      for (const auto& [request, began] : mine) {
-        fail(r, *began, "request " + request + " was cut off");
+      for (const auto& [request, started] : open_requests) {
+        fail(
+          r, *started, "request " + request + " was open at a graceful stop");
       }
-      mine.clear();
+      open_requests.clear();
     }
   }
   return r;
@@ -314,31 +330,33 @@
          e.name == "process_paused";
 }
 
-// When each process was up without a break: from its readiness to its end.
-struct life
+// A period in which a process was up: from ready or resumed until leaving,
+// stopped, killed or paused.
+struct uptime
 {
   std::uint64_t from = 0;
   std::uint64_t to = UINT64_MAX;
 };
 
-std::map<std::string, std::vector<life>>
-lives_of(const std::vector<record>& records)
+std::map<std::string, std::vector<uptime>>
+uptimes_of(const std::vector<record>& records)
 {
-  std::map<std::string, std::vector<life>> lives;
+  std::map<std::string, std::vector<uptime>> uptimes;
   for (const auto& e : records) {
-    const auto& named = e.value("target");
-    auto& mine = lives[named.empty() ? e.process : named];
+    const auto& target = e.value("target");
+    auto& process_uptimes = uptimes[target.empty() ? e.process : target];
     if (e.name == "configuration_ready" || e.name == "process_resumed") {
-      mine.push_back({ e.at.ms, UINT64_MAX });
-    } else if ((is_exit(e) || e.name == "process_leaving") && !mine.empty()) {
-      mine.back().to = std::min(mine.back().to, e.at.ms);
+      process_uptimes.push_back({ e.at.ms, UINT64_MAX });
+    } else if ((is_exit(e) || e.name == "process_leaving") &&
+               !process_uptimes.empty()) {
+      process_uptimes.back().to = std::min(process_uptimes.back().to, e.at.ms);
     }
   }
-  return lives;
+  return uptimes;
 }
 
-using applied = std::map<std::pair<std::string, std::string>,
-                         std::map<std::uint64_t, std::uint64_t>>;
+using in_force_times = std::map<std::pair<std::string, std::string>,
+                                std::map<std::uint64_t, std::uint64_t>>;
 
 std::string
 object_of(const record& e)
@@ -346,11 +364,11 @@
   return e.value("kind") + "/" + e.value("name");
 }
 
-// For each process and object: version -> when it came into force.
-applied
-applied_of(const std::vector<record>& records)
+// Returns for each process and object when each version came into force.
+in_force_times
+in_force_times_of(const std::vector<record>& records)
 {
-  applied all;
+  in_force_times all;
   for (const auto& e : records) {
     if (e.name == "configuration_in_force") {
       all[{ e.process, object_of(e) }].emplace(e.number("version"), e.at.ms);
@@ -359,31 +377,34 @@
   return all;
 }
 
-// Time until the process held the version or a newer one; UINT64_MAX if never.
+// Returns the milliseconds until the accepted version or a newer one was in
+// force on the process, or UINT64_MAX if that never happened.
 std::uint64_t
-delay_of(const applied& all, const std::string& process, const record& accepted)
+propagation_delay(const in_force_times& all,
+                  const std::string& process,
+                  const record& accepted)
 {
-  const auto mine = all.find({ process, object_of(accepted) });
-  if (mine == all.end()) {
+  const auto times = all.find({ process, object_of(accepted) });
+  if (times == all.end()) {
     return UINT64_MAX;
   }
-  auto best = UINT64_MAX;
-  for (auto v = mine->second.lower_bound(accepted.number("version"));
-       v != mine->second.end();
+  auto earliest = UINT64_MAX;
+  for (auto v = times->second.lower_bound(accepted.number("version"));
+       v != times->second.end();
        ++v) {
-    best = std::min(best, v->second);
+    earliest = std::min(earliest, v->second);
   }
-  if (best == UINT64_MAX) {
-    return best;
+  if (earliest == UINT64_MAX) {
+    return earliest;
   }
-  return best > accepted.at.ms ? best - accepted.at.ms : 0;
+  return earliest > accepted.at.ms ? earliest - accepted.at.ms : 0;
 }
 
 bool
-was_up(const std::vector<life>& lives, std::uint64_t from, std::uint64_t to)
+was_up(const std::vector<uptime>& uptimes, std::uint64_t from, std::uint64_t to)
 {
-  return std::any_of(lives.begin(), lives.end(), [&](const auto& one) {
-    return one.from <= from && one.to >= to;
+  return std::any_of(uptimes.begin(), uptimes.end(), [&](const auto& u) {
+    return u.from <= from && u.to >= to;
   });
 }
 
@@ -391,35 +412,37 @@
 check_configuration(const std::vector<record>& records, const history_limits& l)
 {
   promise_result r{ "configuration", 0, {} };
-  const auto all = applied_of(records);
-  const auto lives = lives_of(records);
+  const auto all = in_force_times_of(records);
+  const auto uptimes = uptimes_of(records);
   const auto last = records.empty() ? 0 : records.back().at.ms;
-  std::map<std::pair<std::string, std::string>, std::uint64_t> held;
+  std::map<std::pair<std::string, std::string>, std::uint64_t> in_force;
   std::map<std::string, std::uint64_t> newest;
   for (const auto& e : records) {
     if (e.name == "configuration_ready" &&
         e.number("version") < newest[e.process]) {
-      fail(r, e, "it started with an older configuration than it had");
+      fail(r, e, "process started with an older configuration than before");
     }
     if (e.name == "configuration_in_force") {
-      auto& most = newest[e.process];
-      most = std::max(most, e.number("version"));
+      auto& newest_version = newest[e.process];
+      newest_version = std::max(newest_version, e.number("version"));
     }
     if (e.name == "process_started") {
-      std::erase_if(held,
+      std::erase_if(in_force,
                     [&](const auto& h) { return h.first.first == e.process; });
     } else if (e.name == "configuration_in_force") {
       ++r.checked;
-      auto& version = held[{ e.process, object_of(e) }];
+      auto& version = in_force[{ e.process, object_of(e) }];
       if (e.number("version") <= version) {
-        fail(r, e, object_of(e) + " went back to " + e.value("version"));
+        fail(r,
+             e,
+             object_of(e) + " was reverted to version " + e.value("version"));
       }
       version = std::max(version, e.number("version"));
     } else if (e.name == "configuration_accepted") {
-      for (const auto& [process, spans] : lives) {
-        if (was_up(spans, e.at.ms, e.at.ms + l.max_propagation_ms) &&
+      for (const auto& [process, process_uptimes] : uptimes) {
+        if (was_up(process_uptimes, e.at.ms, e.at.ms + l.max_propagation_ms) &&
             e.at.ms + l.max_propagation_ms <= last &&
-            delay_of(all, process, e) > l.max_propagation_ms) {
+            propagation_delay(all, process, e) > l.max_propagation_ms) {
           fail(r,
                e,
                object_of(e) + " version " + e.value("version") +
@@ -483,16 +506,17 @@
 std::uint64_t
 longest_propagation_ms(const std::vector<record>& records)
 {
-  const auto all = applied_of(records);
-  const auto lives = lives_of(records);
+  const auto all = in_force_times_of(records);
+  const auto uptimes = uptimes_of(records);
   std::uint64_t longest = 0;
   for (const auto& e : records) {
     if (e.name != "configuration_accepted") {
       continue;
     }
-    for (const auto& [process, spans] : lives) {
-      const auto delay = delay_of(all, process, e);
-      if (delay != UINT64_MAX && was_up(spans, e.at.ms, e.at.ms + delay)) {
+    for (const auto& [process, process_uptimes] : uptimes) {
+      const auto delay = propagation_delay(all, process, e);
+      if (delay != UINT64_MAX &&
+          was_up(process_uptimes, e.at.ms, e.at.ms + delay)) {
         longest = std::max(longest, delay);
       }
     }
--- a/cactusford/timeline/history.h
+++ b/cactusford/timeline/history.h
@@ -1,5 +1,6 @@
-// Checks the promises of the service on the event logs of all processes. Pure.
-// The rules stand in docs/HISTORY.md.
+// Checks in the event logs of all processes whether the service kept its
+// guarantees, which the output calls promises. Pure functions; docs/HISTORY.md
+// has the rules.
 #pragma once
 
 #include "cactusford/timeline/event.h"
@@ -19,31 +20,32 @@
 
 struct history_limits
 {
-  // Longest time from an accepted configuration to its being in force.
+  // Maximum time from accepting a configuration until it is in force on a
+  // process.
   std::uint64_t max_propagation_ms = 8000;
-  // Longest time in which a leaving backend server may still get work.
+  // Maximum time during which a leaving backend server may still receive calls.
   std::uint64_t leaving_ms = 3000;
 };
 
-// All `*.log` files below the folder, merged into one order. Lines that are
-// not events are passed over.
+// Reads all `*.log` files below the folder and sorts their events. Lines that
+// are not events are skipped.
 std::vector<record>
 read_logs(const std::string& folder);
 
-// Cause before effect: by timestamp, then by process.
+// Sorts by timestamp, then by process, so that a cause precedes its effect.
 void
 sort_records(std::vector<record>& records);
 
-// One result for each of the nine promises, in the order of the brief.
+// Returns one result for each of the nine promises, always in the same order.
 std::vector<promise_result>
 check_history(const std::vector<record>& records, const history_limits& l);
 
-// "promise=NAME checked=N violations=N".
+// Formats as "promise=NAME checked=N violations=N".
 std::string
 to_string(const promise_result& r);
 
-// Longest time from accepted to in force on a process that was up throughout,
-// in milliseconds.
+// Returns the longest time in milliseconds from accepting a configuration until
+// it was in force on a process. Only counts processes that were up all along.
 std::uint64_t
 longest_propagation_ms(const std::vector<record>& records);
 
--- a/cactusford/timeline/merge.cc
+++ b/cactusford/timeline/merge.cc
@@ -12,9 +12,10 @@
 
 using nlohmann::json;
 
-// Events that begin and end a span, matched by process and id.
+// Maps each event that begins a span to the event that ends it. Both have the
+// same process and id.
 const std::map<std::string, std::string>&
-span_ends()
+end_events()
 {
   static const std::map<std::string, std::string> ends{
     { "call_started", "call_ended" },
@@ -44,26 +45,26 @@
   const record* end = nullptr;
 };
 
-// Spans and, for what neither begins nor ends one, single events.
+// Returns the spans, and the events that do not belong to one.
 std::pair<std::vector<span>, std::vector<const record*>>
-pair_up(const std::vector<record>& records)
+group_into_spans(const std::vector<record>& records)
 {
-  std::map<std::string, std::string> begin_of;
-  for (const auto& [begin, end] : span_ends()) {
-    begin_of[end] = begin;
+  std::map<std::string, std::string> begin_events;
+  for (const auto& [begin, end] : end_events()) {
+    begin_events[end] = begin;
   }
   std::map<std::string, std::size_t> open;
   std::vector<span> spans;
   std::vector<const record*> single;
   for (const auto& r : records) {
-    if (span_ends().contains(r.name)) {
+    if (end_events().contains(r.name)) {
       open[r.process + "/" + r.name + "/" + id_of(r)] = spans.size();
       spans.push_back({ &r, nullptr });
       continue;
     }
-    const auto begin = begin_of.find(r.name);
+    const auto begin = begin_events.find(r.name);
     const auto found =
-      begin == begin_of.end()
+      begin == begin_events.end()
         ? open.end()
         : open.find(r.process + "/" + begin->second + "/" + id_of(r));
     if (found == open.end()) {
@@ -77,13 +78,13 @@
 }
 
 std::uint64_t
-micros(const record& r)
+to_microseconds(const record& r)
 {
   return r.at.ms * 1000 + std::min<std::uint32_t>(r.at.counter, 999);
 }
 
 std::map<std::string, int>
-process_numbers(const std::vector<record>& records)
+number_processes(const std::vector<record>& records)
 {
   std::map<std::string, int> numbers;
   for (const auto& r : records) {
@@ -115,19 +116,20 @@
   if (request.empty() && sample.empty()) {
     return records;
   }
-  std::vector<record> chosen;
-  const auto names = [](const std::string& value, const std::string& wanted) {
+  std::vector<record> selected;
+  const auto matches = [](const std::string& value, const std::string& wanted) {
     return !wanted.empty() && value == wanted;
   };
   for (const auto& r : records) {
     const auto& id = r.value("request");
-    if (names(id, request) || names(r.value("id"), request) ||
-        names(r.value("key"), request) || names(r.value("sample"), sample) ||
+    if (matches(id, request) || matches(r.value("id"), request) ||
+        matches(r.value("key"), request) ||
+        matches(r.value("sample"), sample) ||
         (!sample.empty() && id.starts_with(sample))) {
-      chosen.push_back(r);
+      selected.push_back(r);
     }
   }
-  return chosen;
+  return selected;
 }
 
 std::string
@@ -149,7 +151,7 @@
 std::string
 to_trace(const std::vector<record>& records)
 {
-  const auto numbers = process_numbers(records);
+  const auto numbers = number_processes(records);
   auto events = json::array();
   for (const auto& [name, number] : numbers) {
     events.push_back({ { "ph", "M" },
@@ -157,7 +159,7 @@
                        { "pid", number },
                        { "args", { { "name", name } } } });
   }
-  const auto [spans, single] = pair_up(records);
+  const auto [spans, single] = group_into_spans(records);
   std::uint64_t id = 0;
   for (const auto& s : spans) {
     const auto& end = s.end == nullptr ? *s.begin : *s.end;
@@ -167,11 +169,11 @@
                 { "id", ++id },
                 { "pid", numbers.at(s.begin->process) },
                 { "tid", 1 },
-                { "ts", micros(*s.begin) },
+                { "ts", to_microseconds(*s.begin) },
                 { "args", values_of(*s.begin) } };
     events.push_back(event);
     event["ph"] = "e";
-    event["ts"] = micros(end);
+    event["ts"] = to_microseconds(end);
     event["args"] = values_of(end);
     events.push_back(event);
   }
@@ -181,7 +183,7 @@
                        { "s", "p" },
                        { "pid", numbers.at(r->process) },
                        { "tid", 1 },
-                       { "ts", micros(*r) },
+                       { "ts", to_microseconds(*r) },
                        { "args", values_of(*r) } });
   }
   return json{ { "traceEvents", events } }.dump();
--- a/cactusford/timeline/merge.h
+++ b/cactusford/timeline/merge.h
@@ -1,4 +1,5 @@
-// Shows merged events: as text, as a Chrome trace, as a page. Pure.
+// Renders merged events as text, as a Chrome trace or as an HTML page. Pure
+// functions.
 #pragma once
 
 #include "cactusford/timeline/event.h"
@@ -8,7 +9,8 @@
 
 namespace cactusford::timeline {
 
-// Events that name the request or the sample; all when both are empty.
+// Returns the events of the request or the sample, or all events if both are
+// empty.
 std::vector<record>
 select(const std::vector<record>& records,
        const std::string& request,
@@ -17,11 +19,11 @@
 std::string
 to_text(const std::vector<record>& records);
 
-// JSON in the Trace Event Format of Chrome's viewer and Perfetto.
+// Returns JSON in the Trace Event Format of Chrome's trace viewer and Perfetto.
 std::string
 to_trace(const std::vector<record>& records);
 
-// A page of its own that zooms and filters.
+// Returns a self-contained page with zoom and filters.
 std::string
 to_html(const std::vector<record>& records);
 
--- a/cactusford/timeline/page.cc
+++ b/cactusford/timeline/page.cc
@@ -8,8 +8,8 @@
 
 using nlohmann::json;
 
-// Drawn by the reader's browser from the events in the page, so that one file
-// holds all and opens without a network.
+// The browser draws the time line from the events embedded in the page, so the
+// file is self-contained and opens without a network.
 constexpr std::string_view page_head = R"(<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>cactusford time line</title>
 <style>
@@ -26,7 +26,8 @@
 <div id="bar">process <input id="process"> request or sample
 <input id="request"> kind <input id="kind">
 <span id="count"></span><div id="key"></div></div>
-<div id="detail">Wheel: zoom. Drag: move. Point at an event to read it.</div>
+<div id="detail">Scroll to zoom, drag to pan, hover over an event for
+details.</div>
 <canvas id="canvas"></canvas>
 <script>
 const events=)";
@@ -43,9 +44,9 @@
 weights_published:'#e67e22'};
 const names={call_started:'call',request_accepted:'request',
 sample_started:'sample',weights_order:'weight order',engine_swapped:'swap',
-process_killed:'death',process_paused:'pause',process_leaving:'leaving',
+process_killed:'killed',process_paused:'paused',process_leaving:'leaving',
 call_refused:'refusal',call_retry:'retry',lease_acquired:'lease',
-step_completed:'step whole',configuration_accepted:'configuration',
+step_completed:'step completed',configuration_accepted:'configuration',
 fault:'fault',weights_published:'weights published'};
 const $=id=>document.getElementById(id);
 for(const k in names){const s=document.createElement('span');
@@ -139,7 +140,7 @@
     events.push_back(std::move(e));
   }
   auto data = events.dump(-1, ' ', true, json::error_handler_t::replace);
-  // A value that holds "</script>" must not end the script.
+  // Escapes "</", because a value with "</script>" would end the script.
   for (auto at = data.find("</"); at != std::string::npos;
        at = data.find("</", at + 2)) {
     data.replace(at, 2, "<\\/");
