--- a/cactusford/rollout/client.cc
+++ b/cactusford/rollout/client.cc
@@ -29,12 +29,12 @@
 struct trainer_client::state
 {
   builder options;
-  cursor at;
-  std::size_t turn = 0;
+  cursor position;
+  std::size_t stub_index = 0;
   std::vector<std::unique_ptr<trainer_service::Stub>> stubs;
   std::string publish_id;
 
-  trainer_service::Stub& stub() { return *stubs[turn % stubs.size()]; }
+  trainer_service::Stub& stub() { return *stubs[stub_index % stubs.size()]; }
 };
 
 trainer_client::builder&
@@ -77,7 +77,7 @@
 {
   auto s = std::make_unique<state>();
   s->options = *this;
-  s->at = start_;
+  s->position = start_;
   grpc::ChannelArguments arguments;
   arguments.SetMaxReceiveMessageSize(max_message);
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
@@ -97,19 +97,19 @@
 trainer_client::~trainer_client() = default;
 trainer_client::trainer_client(trainer_client&&) noexcept = default;
 
-// Exactly once rests here: the trainer names what it holds, refuses an owner
-// with an older fencing number, and takes each slot once. An answer that is
-// lost, repeated, or sent by an owner that woke up late changes nothing.
+// Delivery is exactly once because the trainer sends the slots that it has,
+// rejects an owner with an older fencing token and accepts each slot once. A
+// response that is lost, repeated or sent by a former owner has no effect.
 result<batch>
 trainer_client::fetch()
 {
   auto& s = *state_;
   fetch_request request;
   request.set_trainer(s.options.name_);
-  request.set_step(s.at.step);
-  request.set_received(s.at.received);
-  request.set_weight_version(s.at.weight_version);
-  request.set_fence(s.at.fence);
+  request.set_step(s.position.step);
+  request.set_received(s.position.received);
+  request.set_weight_version(s.position.weight_version);
+  request.set_fence(s.position.fence);
   request.set_max_samples(s.options.max_samples_);
   request.set_wait_ms(s.options.wait_ms_);
   fetch_response response;
@@ -118,30 +118,31 @@
                        std::chrono::milliseconds{ s.options.wait_ms_ });
   const auto status = s.stub().fetch(&context, request, &response);
   if (!status.ok()) {
-    ++s.turn;
+    ++s.stub_index;
     return { {}, failure_from(status) };
   }
-  if (response.fence() < s.at.fence) {
-    ++s.turn;
-    return { {}, { error_kind::fenced, "an older owner answered", 100 } };
+  if (response.fence() < s.position.fence) {
+    ++s.stub_index;
+    return { {}, { error_kind::fenced, "response of a former owner", 100 } };
   }
-  s.at.fence = response.fence();
+  s.position.fence = response.fence();
   batch b;
   b.step_size = response.step_size();
   b.staleness_bound = response.staleness_bound();
-  for (auto& one : *response.mutable_samples()) {
-    const auto index = one.slot_index();
-    if (one.slot().step() != s.at.step || is_received(s.at.received, index)) {
+  for (auto& sample : *response.mutable_samples()) {
+    const auto index = sample.slot_index();
+    if (sample.slot().step() != s.position.step ||
+        is_received(s.position.received, index)) {
       continue;
     }
-    set_received(s.at.received, index);
-    b.samples.push_back(std::move(one));
+    set_received(s.position.received, index);
+    b.samples.push_back(std::move(sample));
   }
-  std::uint32_t held = 0;
+  std::uint32_t received = 0;
   for (std::uint32_t i = 0; i < b.step_size; ++i) {
-    held += is_received(s.at.received, i) ? 1 : 0;
+    received += is_received(s.position.received, i) ? 1 : 0;
   }
-  b.step_complete = b.step_size > 0 && held == b.step_size;
+  b.step_complete = b.step_size > 0 && received == b.step_size;
   return { std::move(b), {} };
 }
 
@@ -149,7 +150,8 @@
 trainer_client::publish(std::uint64_t weight_version)
 {
   auto& s = *state_;
-  // The same id on every repeat, or a lost answer would look like a conflict.
+  // A retry uses the same id. Otherwise, after a lost response, it would be
+  // reported as a conflict.
   if (s.publish_id.empty()) {
     s.publish_id = process::new_id();
   }
@@ -162,20 +164,20 @@
   context.set_deadline(std::chrono::system_clock::now() + call_margin);
   const auto status = s.stub().publish(&context, request, &response);
   if (!status.ok()) {
-    ++s.turn;
+    ++s.stub_index;
     return failure_from(status);
   }
   s.publish_id.clear();
-  s.at.weight_version = weight_version;
-  ++s.at.step;
-  s.at.received.clear();
+  s.position.weight_version = weight_version;
+  ++s.position.step;
+  s.position.received.clear();
   return {};
 }
 
 const cursor&
 trainer_client::position() const
 {
-  return state_->at;
+  return state_->position;
 }
 
 } // namespace cactusford::rollout
--- a/cactusford/rollout/client.h
+++ b/cactusford/rollout/client.h
@@ -1,5 +1,5 @@
-// The trainers' client: fetches samples, each exactly once, and publishes
-// weights. One thread a client.
+// Client library for trainers. Fetches each sample exactly once and publishes
+// weights. Not thread-safe: use a client per thread.
 #pragma once
 
 #include "cactusford/error.h"
@@ -12,12 +12,12 @@
 
 namespace cactusford::rollout {
 
-// What a trainer saves together with the samples that it has applied. With it
-// a restarted trainer goes on where it was.
+// The position of a trainer. A trainer saves it together with the samples that
+// it has applied, and continues from there after a restart.
 struct cursor
 {
   std::uint64_t step = 1;
-  // Bit i: slot i of the step is held.
+  // Bitmap: bit i is set if slot i of the step was received.
   std::string received;
   std::uint64_t weight_version = 1;
   std::uint64_t fence = 0;
@@ -40,7 +40,8 @@
   {
   public:
     builder& trainer(std::string name);
-    // "ip:port" of an entry's RPC port. Several may be named.
+    // Adds the "ip:port" of an entry's RPC port. May be called repeatedly;
+    // after a failed call, the client continues with the next entry.
     builder& entry(std::string address);
     builder& start_at(cursor c);
     builder& max_samples(std::uint32_t n);
@@ -59,12 +60,12 @@
   ~trainer_client();
   trainer_client(trainer_client&&) noexcept;
 
-  // New samples of the present step; none when the wait is over. What it
-  // returned counts as held from then on. Errors are temporary unless they say
-  // not_found or bad_request.
+  // Returns new samples of the current step, or none if the wait has ended.
+  // Returned samples count as received from then on. Errors are temporary,
+  // except not_found and bad_request.
   result<batch> fetch();
 
-  // Publishes the version and goes on to the next step.
+  // Publishes the version and advances to the next step.
   failure publish(std::uint64_t weight_version);
 
   const cursor& position() const;
--- a/cactusford/rollout/step.cc
+++ b/cactusford/rollout/step.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint32_t bits = 8;
+constexpr std::uint32_t bits_per_byte = 8;
 
 } // namespace
 
@@ -83,7 +83,7 @@
 std::size_t
 mark_received(step& s, const std::string& bitmap)
 {
-  std::size_t fresh = 0;
+  std::size_t newly_delivered = 0;
   for (std::uint32_t i = 0; i < s.slots.size(); ++i) {
     auto& slot = s.slots[i];
     if (slot.phase == slot_phase::delivered || !is_received(bitmap, i)) {
@@ -94,44 +94,44 @@
     slot.phase = slot_phase::delivered;
     slot.body.reset();
     ++s.delivered;
-    ++fresh;
+    ++newly_delivered;
   }
-  return fresh;
+  return newly_delivered;
 }
 
 std::vector<std::uint32_t>
-ready_slots(const step& s, std::size_t most)
+ready_slots(const step& s, std::size_t limit)
 {
-  std::vector<std::uint32_t> found;
+  std::vector<std::uint32_t> indices;
   if (s.ready == 0) {
-    return found;
+    return indices;
   }
-  for (std::uint32_t i = 0; i < s.slots.size() && found.size() < most; ++i) {
+  for (std::uint32_t i = 0; i < s.slots.size() && indices.size() < limit; ++i) {
     if (s.slots[i].phase == slot_phase::ready) {
-      found.push_back(i);
+      indices.push_back(i);
     }
   }
-  return found;
+  return indices;
 }
 
 bool
 is_received(const std::string& bitmap, std::uint32_t index)
 {
-  const auto byte = index / bits;
-  return byte < bitmap.size() &&
-         ((static_cast<unsigned char>(bitmap[byte]) >> (index % bits)) & 1U) !=
-           0;
+  const auto byte = index / bits_per_byte;
+  return byte < bitmap.size() && ((static_cast<unsigned char>(bitmap[byte]) >>
+                                   (index % bits_per_byte)) &
+                                  1U) != 0;
 }
 
 void
 set_received(std::string& bitmap, std::uint32_t index)
 {
-  const auto byte = index / bits;
+  const auto byte = index / bits_per_byte;
   if (byte >= bitmap.size()) {
     bitmap.resize(byte + 1);
   }
   bitmap[byte] = static_cast<char>(static_cast<unsigned char>(bitmap[byte]) |
-                                   (1U << (index % bits)));
+                                   (1U << (index % bits_per_byte)));
 }
 
 std::uint64_t
--- a/cactusford/rollout/step.h
+++ b/cactusford/rollout/step.h
@@ -1,5 +1,6 @@
-// One training step: a slot for each sample, filled by the first valid one.
-// Pure; times are steady milliseconds.
+// State of a training step. It has a slot for each sample, which the first
+// valid sample fills. Pure functions; times are in milliseconds of the steady
+// clock.
 #pragma once
 
 #include "cactusford/rollout/rollout.pb.h"
@@ -23,11 +24,12 @@
 struct slot_state
 {
   slot_phase phase = slot_phase::waiting;
-  // Attempts of the whole sample: a dropped stale one begins anew.
+  // Attempts to produce the sample. A sample that was dropped as stale is
+  // started again.
   std::uint32_t attempts = 0;
   std::uint64_t started_ms = 0;
   std::uint64_t tokens = 0;
-  // Calls under way for it: two while a duplicate runs.
+  // Open calls for the slot: two while a duplicate runs.
   std::uint32_t calls = 0;
   // Set from `ready` on.
   std::optional<sample> body;
@@ -39,11 +41,11 @@
   std::uint64_t number = 0;
   std::uint32_t group_size = 1;
   std::vector<slot_state> slots;
-  // Counts by phase, kept with the slots.
+  // Number of slots in each phase, updated together with the slots.
   std::size_t waiting = 0;
   std::size_t ready = 0;
   std::size_t delivered = 0;
-  // First slot that may be waiting.
+  // Index of the first slot that may be waiting.
   std::size_t cursor = 0;
 };
 
@@ -53,29 +55,32 @@
           std::uint32_t groups,
           std::uint32_t group_size);
 
-// The next slot to start. It is running from now on.
+// Marks the next waiting slot as running and returns its index, or nothing if
+// no slot is waiting.
 std::optional<std::uint32_t>
 start_next(step& s, std::uint64_t now_ms);
 
-// The call of a slot failed for good: it waits again.
+// Returns a slot to the waiting phase, because its call failed permanently or
+// its sample was dropped. Has no effect on a delivered slot.
 void
 release_slot(step& s, std::uint32_t index);
 
-// False when the slot is filled already: the sample is a duplicate to drop.
+// Returns false if the slot is not running. The sample is then a duplicate that
+// must be dropped.
 bool
 begin_scoring(step& s, std::uint32_t index);
 
 void
 fill(step& s, std::uint32_t index, sample body);
 
-// Takes the trainer's word for what it holds. Returns how many became
-// delivered by it.
+// Marks the slots that the trainer reports as received as delivered. Returns
+// the number of slots that were not delivered before.
 std::size_t
 mark_received(step& s, const std::string& bitmap);
 
-// Ready slots, up to `most`.
+// Returns the indices of at most `limit` ready slots.
 std::vector<std::uint32_t>
-ready_slots(const step& s, std::size_t most);
+ready_slots(const step& s, std::size_t limit);
 
 bool
 is_received(const std::string& bitmap, std::uint32_t index);
@@ -83,11 +88,13 @@
 void
 set_received(std::string& bitmap, std::uint32_t index);
 
-// Oldest weight version of the runs; 0 when one of them names none.
+// Returns the oldest weight version of the runs, or 0 if there are no runs or
+// one of them has no version.
 std::uint64_t
 oldest_version(const sample& s);
 
-// Appends tokens to the last run or begins a new one.
+// Adds tokens to the last run if it has the same version, otherwise appends a
+// new run.
 void
 add_run(sample& s, std::uint64_t version, std::uint32_t tokens);
 
