--- a/cactusford/operators/client.cc
+++ b/cactusford/operators/client.cc
@@ -17,7 +17,7 @@
 constexpr int max_message = 64 << 20;
 
 bool
-is_temporary(error_kind kind)
+is_retryable(error_kind kind)
 {
   return kind == error_kind::platform_unavailable ||
          kind == error_kind::platform_stale ||
@@ -31,10 +31,11 @@
   std::vector<std::unique_ptr<operator_service::Stub>> stubs;
 
   template<typename Response, typename Call>
-  result<Response> ask(Call call)
+  result<Response> call_with_retries(Call call)
   {
     result<Response> last;
-    last.error = { error_kind::bad_request, "no --entry is named" };
+    last.error = { error_kind::bad_request,
+                   "no entry is set; use --entry or CACTUSFORD_ENTRIES" };
     for (int round = 0; round < rounds; ++round) {
       for (auto& stub : stubs) {
         grpc::ClientContext context;
@@ -48,7 +49,7 @@
         last.error = { kind.empty() ? error_kind::outcome_unknown
                                     : error_kind_from(kind),
                        s.error_message() };
-        if (!is_temporary(last.error.kind)) {
+        if (!is_retryable(last.error.kind)) {
           return last;
         }
       }
@@ -74,30 +75,31 @@
 result<apply_response>
 client::apply(const apply_request& r)
 {
-  return state_->ask<apply_response>(
+  return state_->call_with_retries<apply_response>(
     [&](auto& stub, auto& c, auto& out) { return stub.apply(&c, r, &out); });
 }
 
 result<apply_response>
 client::remove(const delete_request& r)
 {
-  return state_->ask<apply_response>(
+  return state_->call_with_retries<apply_response>(
     [&](auto& stub, auto& c, auto& out) { return stub.remove(&c, r, &out); });
 }
 
 result<get_response>
 client::get(const get_request& r)
 {
-  return state_->ask<get_response>(
+  return state_->call_with_retries<get_response>(
     [&](auto& stub, auto& c, auto& out) { return stub.get(&c, r, &out); });
 }
 
 result<status_response>
 client::status()
 {
-  return state_->ask<status_response>([](auto& stub, auto& c, auto& out) {
-    return stub.status(&c, status_request{}, &out);
-  });
+  return state_->call_with_retries<status_response>(
+    [](auto& stub, auto& c, auto& out) {
+      return stub.status(&c, status_request{}, &out);
+    });
 }
 
 } // namespace cactusford::operators
--- a/cactusford/operators/client.h
+++ b/cactusford/operators/client.h
@@ -1,4 +1,5 @@
-// The operators' calls, over the first entry that answers.
+// Client for operators. Sends each call to the entries in turn until one
+// responds.
 #pragma once
 
 #include "cactusford/error.h"
@@ -13,12 +14,12 @@
 class client
 {
 public:
-  // `entries` are "ip:port" of RPC ports.
+  // `entries` are the "ip:port" addresses of the entries' RPC ports.
   explicit client(const std::vector<std::string>& entries);
   ~client();
 
-  // A call whose answer is lost is repeated with the same request id, here or
-  // at another entry, so that it takes effect once.
+  // A call whose response is lost is retried with the same request id, also at
+  // other entries, so that it takes effect only once.
   result<apply_response> apply(const apply_request& r);
   result<apply_response> remove(const delete_request& r);
   result<get_response> get(const get_request& r);
--- a/cactusford/operators/command.cc
+++ b/cactusford/operators/command.cc
@@ -33,19 +33,19 @@
 
 constexpr const char* usage =
   "COMMAND [ARGUMENTS]\n\n"
-  "  apply -f FILE|DIR        put declarations into force\n"
+  "  apply -f FILE|DIR        create or update declarations\n"
   "  get KIND [NAME]          show declarations\n"
   "  diff -f FILE|DIR         show what apply would change\n"
-  "  delete KIND NAME         take a declaration back\n"
-  "  status [--watch]         instances, trainers, configuration, refusals\n"
-  "  timeline DIR             merge the event logs below DIR\n"
-  "  check-history DIR        check the promises on the event logs\n\n"
-  "Entries are named by --entry or CACTUSFORD_ENTRIES (comma-separated).";
+  "  delete KIND NAME         delete a declaration\n"
+  "  status [--watch]         show instances, trainers, configuration, refusals\n"
+  "  timeline DIR             merge and show the event logs below DIR\n"
+  "  check-history DIR        check event logs for broken promises\n\n"
+  "Set entries with --entry or CACTUSFORD_ENTRIES (comma-separated).";
 
 struct options
 {
   std::vector<std::string> entries;
-  std::vector<std::string> words;
+  std::vector<std::string> arguments;
   std::string file;
   std::string request;
   std::string sample;
@@ -65,9 +65,9 @@
 }
 
 int
-misuse(const std::string& what)
+usage_error(const std::string& message)
 {
-  std::cerr << what << "; see cactusford --help\n";
+  std::cerr << message << "; see cactusford --help\n";
   return exit_usage;
 }
 
@@ -83,9 +83,10 @@
   }
 }
 
-// What the platform holds of the declaration: version 0 when there is none.
+// Returns the declaration that the platform stores, or one with version 0 if
+// there is none.
 result<declaration>
-held_of(client& c, const declared& d)
+fetch_stored(client& c, const declaration_file& d)
 {
   get_request r;
   r.set_kind(d.kind);
@@ -104,7 +105,7 @@
 apply(const options& o)
 {
   if (o.file.empty()) {
-    return misuse("apply needs -f FILE|DIR");
+    return usage_error("apply needs -f FILE|DIR");
   }
   const auto all = read_declarations(o.file);
   if (!all) {
@@ -112,9 +113,9 @@
   }
   client c{ o.entries };
   for (const auto& d : all.value) {
-    const auto held = held_of(c, d);
-    if (!held) {
-      return fail(held.error);
+    const auto stored = fetch_stored(c, d);
+    if (!stored) {
+      return fail(stored.error);
     }
     apply_request r;
     r.mutable_declaration()->set_kind(d.kind);
@@ -122,7 +123,7 @@
     r.mutable_declaration()->set_spec(d.spec);
     r.set_expected_version(o.expected_version >= 0
                              ? static_cast<std::uint64_t>(o.expected_version)
-                             : held.value.version());
+                             : stored.value.version());
     r.set_request_id(process::new_id());
     const auto answer = c.apply(r);
     if (!answer) {
@@ -139,7 +140,7 @@
 diff(const options& o)
 {
   if (o.file.empty()) {
-    return misuse("diff needs -f FILE|DIR");
+    return usage_error("diff needs -f FILE|DIR");
   }
   const auto all = read_declarations(o.file);
   if (!all) {
@@ -148,13 +149,13 @@
   client c{ o.entries };
   int changes = 0;
   for (const auto& d : all.value) {
-    const auto held = held_of(c, d);
-    if (!held) {
-      return fail(held.error);
+    const auto stored = fetch_stored(c, d);
+    if (!stored) {
+      return fail(stored.error);
     }
-    const bool absent = held.value.version() == 0 || held.value.deleted();
+    const bool absent = stored.value.version() == 0 || stored.value.deleted();
     const auto before =
-      absent ? json::object() : json::parse(held.value.spec());
+      absent ? json::object() : json::parse(stored.value.spec());
     const auto patch = json::diff(before, json::parse(d.spec));
     if (absent || !patch.empty()) {
       ++changes;
@@ -169,12 +170,12 @@
 int
 get(const options& o)
 {
-  if (o.words.size() < 2) {
-    return misuse("get needs KIND [NAME]");
+  if (o.arguments.size() < 2) {
+    return usage_error("get needs KIND [NAME]");
   }
   get_request r;
-  r.set_kind(o.words[1]);
-  r.set_name(o.words.size() > 2 ? o.words[2] : "");
+  r.set_kind(o.arguments[1]);
+  r.set_name(o.arguments.size() > 2 ? o.arguments[2] : "");
   const auto answer = client{ o.entries }.get(r);
   if (!answer) {
     return fail(answer.error);
@@ -195,24 +196,25 @@
 int
 remove(const options& o)
 {
-  if (o.words.size() != 3) {
-    return misuse("delete needs KIND NAME");
+  if (o.arguments.size() != 3) {
+    return usage_error("delete needs KIND NAME");
   }
   client c{ o.entries };
-  const auto held = held_of(c, { o.words[1], o.words[2], {}, {} });
-  if (!held) {
-    return fail(held.error);
+  const auto stored =
+    fetch_stored(c, { o.arguments[1], o.arguments[2], {}, {} });
+  if (!stored) {
+    return fail(stored.error);
   }
   delete_request r;
-  r.set_kind(o.words[1]);
-  r.set_name(o.words[2]);
-  r.set_expected_version(held.value.version());
+  r.set_kind(o.arguments[1]);
+  r.set_name(o.arguments[2]);
+  r.set_expected_version(stored.value.version());
   r.set_request_id(process::new_id());
   const auto answer = c.remove(r);
   if (!answer) {
     return fail(answer.error);
   }
-  std::cout << o.words[1] << "/" << o.words[2] << " version "
+  std::cout << o.arguments[1] << "/" << o.arguments[2] << " version "
             << answer.value.version() << " deleted\n";
   return exit_done;
 }
@@ -223,14 +225,14 @@
   std::cout << "configuration version " << s.configuration_version()
             << " in force on " << s.in_force() << " of " << s.processes()
             << "\nsecurity " << s.security() << "\n";
-  std::map<std::string, std::map<std::string, int>> centres;
+  std::map<std::string, std::map<std::string, int>> data_centres;
   for (const auto& i : s.instances()) {
-    ++centres[i.data_centre()][i.role() + " " + i.state()];
+    ++data_centres[i.data_centre()][i.role() + " " + i.state()];
   }
-  for (const auto& [centre, counts] : centres) {
-    std::cout << "data centre " << centre << ":";
-    for (const auto& [what, count] : counts) {
-      std::cout << " " << what << " " << count;
+  for (const auto& [data_centre, counts] : data_centres) {
+    std::cout << "data centre " << data_centre << ":";
+    for (const auto& [role_and_state, count] : counts) {
+      std::cout << " " << role_and_state << " " << count;
     }
     std::cout << "\n";
   }
@@ -277,29 +279,29 @@
 int
 check_history(const options& o)
 {
-  if (o.words.size() != 2) {
-    return misuse("check-history needs DIR");
+  if (o.arguments.size() != 2) {
+    return usage_error("check-history needs DIR");
   }
-  const auto records = timeline::read_logs(o.words[1]);
-  bool kept = true;
+  const auto records = timeline::read_logs(o.arguments[1]);
+  bool all_kept = true;
   for (const auto& r : timeline::check_history(records, {})) {
     std::cout << timeline::to_string(r) << "\n";
     for (const auto& v : r.violations) {
       std::cerr << "violation promise=" << r.promise << " " << v << "\n";
     }
-    kept = kept && r.violations.empty();
+    all_kept = all_kept && r.violations.empty();
   }
-  return kept ? exit_done : exit_failed;
+  return all_kept ? exit_done : exit_failed;
 }
 
 int
 show_timeline(const options& o)
 {
-  if (o.words.size() != 2) {
-    return misuse("timeline needs DIR");
+  if (o.arguments.size() != 2) {
+    return usage_error("timeline needs DIR");
   }
   const auto records =
-    timeline::select(timeline::read_logs(o.words[1]), o.request, o.sample);
+    timeline::select(timeline::read_logs(o.arguments[1]), o.request, o.sample);
   if (!o.trace.empty()) {
     std::ofstream{ o.trace } << timeline::to_trace(records);
   }
@@ -312,8 +314,9 @@
   return exit_done;
 }
 
+// Copies a string that popt allocated and frees the original.
 std::string
-take(char* text)
+take_ownership(char* text)
 {
   std::string s = text == nullptr ? "" : text;
   std::free(text);
@@ -345,46 +348,66 @@
                 POPT_ARG_STRING,
                 &entry,
                 entry_option,
-                "RPC address of an entry; may be repeated",
+                "RPC address of an entry (repeatable)",
                 "IP:PORT" },
-    poptOption{
-      "file", 'f', POPT_ARG_STRING, &file, 0, "Declarations", "FILE|DIR" },
+    poptOption{ "file",
+                'f',
+                POPT_ARG_STRING,
+                &file,
+                0,
+                "Declarations to read",
+                "FILE|DIR" },
     poptOption{ "expected-version",
                 0,
                 POPT_ARG_LONG,
                 &o.expected_version,
                 0,
-                "Version that apply builds on",
+                "Expected current version of the declaration for apply",
                 "N" },
     poptOption{
-      "json", 0, POPT_ARG_NONE, &as_json, 0, "Status as JSON", nullptr },
-    poptOption{
-      "watch", 'w', POPT_ARG_NONE, &watch, 0, "Repeat the status", nullptr },
+      "json", 0, POPT_ARG_NONE, &as_json, 0, "Print status as JSON", nullptr },
+    poptOption{ "watch",
+                'w',
+                POPT_ARG_NONE,
+                &watch,
+                0,
+                "Print status repeatedly",
+                nullptr },
     poptOption{ "request",
                 0,
                 POPT_ARG_STRING,
                 &request,
                 0,
-                "Time line of one request",
+                "Only show events of this request",
                 "ID" },
     poptOption{ "sample",
                 0,
                 POPT_ARG_STRING,
                 &sample,
                 0,
-                "Time line of one sample",
+                "Only show events of this sample",
                 "ID" },
-    poptOption{
-      "text", 0, POPT_ARG_NONE, &text, 0, "Time line as text", nullptr },
+    poptOption{ "text",
+                0,
+                POPT_ARG_NONE,
+                &text,
+                0,
+                "Print the time line as text",
+                nullptr },
     poptOption{ "trace",
                 0,
                 POPT_ARG_STRING,
                 &trace,
                 0,
-                "Time line as Chrome trace JSON",
+                "Write the time line as Chrome trace JSON",
+                "FILE" },
+    poptOption{ "html",
+                0,
+                POPT_ARG_STRING,
+                &html,
+                0,
+                "Write the time line as an HTML page",
                 "FILE" },
-    poptOption{
-      "html", 0, POPT_ARG_STRING, &html, 0, "Time line as a page", "FILE" },
     poptOption POPT_AUTOHELP poptOption POPT_TABLEEND
   };
   auto* context = poptGetContext(
@@ -393,31 +416,33 @@
   int rc = 0;
   while ((rc = poptGetNextOpt(context)) > 0) {
     if (rc == entry_option) {
-      split_entries(take(std::exchange(entry, nullptr)), o.entries);
+      split_entries(take_ownership(std::exchange(entry, nullptr)), o.entries);
     }
   }
-  std::string wrong;
+  std::string option_error;
   if (rc < -1) {
-    wrong = std::string{ poptBadOption(context, 0) } + ": " + poptStrerror(rc);
+    option_error =
+      std::string{ poptBadOption(context, 0) } + ": " + poptStrerror(rc);
   }
-  while (const char* word = poptGetArg(context)) {
-    o.words.emplace_back(word);
+  while (const char* argument = poptGetArg(context)) {
+    o.arguments.emplace_back(argument);
   }
   poptFreeContext(context);
-  o.file = take(file);
-  o.request = take(request);
-  o.sample = take(sample);
-  o.trace = take(trace);
-  o.html = take(html);
+  o.file = take_ownership(file);
+  o.request = take_ownership(request);
+  o.sample = take_ownership(sample);
+  o.trace = take_ownership(trace);
+  o.html = take_ownership(html);
   o.as_json = as_json != 0;
   o.watch = watch != 0;
   o.text = text != 0;
-  if (const char* named = std::getenv("CACTUSFORD_ENTRIES");
-      o.entries.empty() && named != nullptr) {
-    split_entries(named, o.entries);
+  if (const char* variable = std::getenv("CACTUSFORD_ENTRIES");
+      o.entries.empty() && variable != nullptr) {
+    split_entries(variable, o.entries);
   }
-  if (!wrong.empty() || o.words.empty()) {
-    return misuse(wrong.empty() ? "a command is missing" : wrong);
+  if (!option_error.empty() || o.arguments.empty()) {
+    return usage_error(option_error.empty() ? "no command given"
+                                            : option_error);
   }
   const std::map<std::string, int (*)(const options&)> commands{
     { "apply", apply },
@@ -428,9 +453,9 @@
     { "timeline", show_timeline },
     { "check-history", check_history },
   };
-  const auto found = commands.find(o.words[0]);
+  const auto found = commands.find(o.arguments[0]);
   if (found == commands.end()) {
-    return misuse("'" + o.words[0] + "' is no command");
+    return usage_error("unknown command '" + o.arguments[0] + "'");
   }
   return found->second(o);
 }
--- a/cactusford/operators/command.h
+++ b/cactusford/operators/command.h
@@ -1,9 +1,10 @@
-// The operators' command line.
+// The command line tool for operators.
 #pragma once
 
 namespace cactusford::operators {
 
-// Exit codes: 0 done, 1 failed or violations found, 2 wrong use, 3 conflict.
+// Returns the exit code: 0 success, 1 failure or violations found, 2 usage
+// error, 3 version conflict.
 int
 run_command(int argc, char** argv);
 
--- a/cactusford/operators/files.cc
+++ b/cactusford/operators/files.cc
@@ -16,46 +16,47 @@
 using nlohmann::json;
 
 std::size_t
-order_of(const std::string& kind)
+apply_order(const std::string& kind)
 {
   const auto& kinds = configuration::declared_kinds();
   return static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), kind) -
                                   kinds.begin());
 }
 
-result<declared>
-read_one(const std::string& file)
+result<declaration_file>
+read_declaration(const std::string& file)
 {
-  const auto wrong = [&](const std::string& what) {
-    return result<declared>{ {},
-                             { error_kind::bad_request, file + ": " + what } };
+  const auto invalid = [&](const std::string& message) {
+    return result<declaration_file>{
+      {}, { error_kind::bad_request, file + ": " + message }
+    };
   };
   const auto text = settings::read_file(file);
   if (!text) {
-    return wrong("cannot be read");
+    return invalid("cannot read file");
   }
   const auto j = json::parse(text.value, nullptr, false, true);
   if (!j.is_object()) {
-    return wrong("not a JSON object");
+    return invalid("not a JSON object");
   }
   for (const auto* key : { "kind", "name" }) {
     if (!j.contains(key) || !j[key].is_string()) {
-      return wrong(std::string{ "key " } + key + ": a string is needed");
+      return invalid(std::string{ "key " } + key + " must be a string");
     }
   }
   if (!j.contains("spec")) {
-    return wrong("key spec is missing");
+    return invalid("missing key spec");
   }
-  declared d{ j["kind"], j["name"], j["spec"].dump(), file };
+  declaration_file d{ j["kind"], j["name"], j["spec"].dump(), file };
   if (const auto f = configuration::check_declaration(d.kind, d.name, d.spec)) {
-    return wrong(f.detail);
+    return invalid(f.detail);
   }
   return { std::move(d), {} };
 }
 
 } // namespace
 
-result<std::vector<declared>>
+result<std::vector<declaration_file>>
 read_declarations(const std::string& path)
 {
   std::vector<std::string> files;
@@ -70,16 +71,16 @@
     files.push_back(path);
   }
   std::sort(files.begin(), files.end());
-  std::vector<declared> all;
+  std::vector<declaration_file> all;
   for (const auto& file : files) {
-    auto one = read_one(file);
-    if (!one) {
-      return { {}, one.error };
+    auto declaration = read_declaration(file);
+    if (!declaration) {
+      return { {}, declaration.error };
     }
-    all.push_back(std::move(one.value));
+    all.push_back(std::move(declaration.value));
   }
   std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
-    return order_of(a.kind) < order_of(b.kind);
+    return apply_order(a.kind) < apply_order(b.kind);
   });
   return { std::move(all), {} };
 }
--- a/cactusford/operators/files.h
+++ b/cactusford/operators/files.h
@@ -1,4 +1,5 @@
-// Declarations in files: one JSON object {"kind", "name", "spec"} each.
+// Reads declarations from files. Each file has one JSON object {"kind", "name",
+// "spec"}.
 #pragma once
 
 #include "cactusford/error.h"
@@ -8,7 +9,7 @@
 
 namespace cactusford::operators {
 
-struct declared
+struct declaration_file
 {
   std::string kind;
   std::string name;
@@ -16,12 +17,14 @@
   std::string spec;
   std::string file;
 
-  friend bool operator==(const declared&, const declared&) = default;
+  friend bool operator==(const declaration_file&,
+                         const declaration_file&) = default;
 };
 
-// A file, or all *.json below a folder, in the order in which they apply:
-// pools and services before jobs. All are checked before any is applied.
-result<std::vector<declared>>
+// Reads a file, or all *.json files below a folder. Returns the declarations in
+// the order in which they must be applied: pools and services before jobs.
+// Checks all of them, so that none is applied if one is invalid.
+result<std::vector<declaration_file>>
 read_declarations(const std::string& path);
 
 } // namespace cactusford::operators
