--- a/cactusford/batches/runs.cc
+++ b/cactusford/batches/runs.cc
@@ -210,7 +210,7 @@
   o.timeout_ms = run_limit_ms;
   o.echo = { names.request_id, item.id };
   o.reset_on_abandon = true;
-  http::exchange_events events;
+  http::exchange_callbacks events;
   const auto self = shared_from_this();
   events.on_head =
     [self, id = b.stored.id, at = i.index, run = i.run](const http::head& h) {
--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -69,7 +69,7 @@
 
 struct exchange
 {
-  exchange_events events;
+  exchange_callbacks events;
   exchange_options options;
   std::string bytes;
   std::unique_ptr<http::timer> timer;
@@ -480,7 +480,7 @@
 client::send(const std::string& address,
              const request& r,
              exchange_options options,
-             exchange_events events)
+             exchange_callbacks events)
 {
   auto e = std::make_shared<detail::exchange>();
   e->events = std::move(events);
@@ -515,7 +515,7 @@
               std::size_t max_bytes)
 {
   auto collected = std::make_shared<response>();
-  exchange_events events;
+  exchange_callbacks events;
   events.on_head = [collected](const head& h) {
     collected->status = h.status;
     collected->fields = h.fields;
--- a/cactusford/http/client.h
+++ b/cactusford/http/client.h
@@ -33,7 +33,7 @@
 std::string_view
 name_of(exchange_outcome e) noexcept;
 
-struct exchange_events
+struct exchange_callbacks
 {
   // Not called for responses with status 1xx.
   std::function<void(const head&)> on_head;
@@ -106,7 +106,7 @@
   pending_request send(const std::string& address,
                        const request& r,
                        exchange_options options,
-                       exchange_events events);
+                       exchange_callbacks events);
 
   // Sends a request and collects the complete response. A body longer than
   // `max_bytes` is reported as malformed.
