--- a/cactusford/http/parser.cc
+++ b/cactusford/http/parser.cc
@@ -9,7 +9,7 @@
 struct parser::impl
 {
   http_parser raw{};
-  parser_events events;
+  parser_callbacks events;
   head current;
   bool last_was_value = false;
   bool is_inside = false;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-parser::parser(parser_kind kind, parser_events events)
+parser::parser(parser_kind kind, parser_callbacks events)
   : impl_{ std::make_unique<impl>() }
 {
   impl_->events = std::move(events);
--- a/cactusford/http/parser.h
+++ b/cactusford/http/parser.h
@@ -31,7 +31,7 @@
 
 // Callbacks, in the order of the message. A callback that returns false pauses
 // the parser, and the rest of the input is not consumed.
-struct parser_events
+struct parser_callbacks
 {
   std::function<bool(head&&)> on_head;
   std::function<bool(std::string_view)> on_body;
@@ -48,7 +48,7 @@
 class parser
 {
 public:
-  parser(parser_kind kind, parser_events events);
+  parser(parser_kind kind, parser_callbacks events);
   ~parser();
   parser(const parser&) = delete;
   parser& operator=(const parser&) = delete;
