--- a/cactusford/http/client.cc
+++ b/cactusford/http/client.cc
@@ -69,7 +69,7 @@
 
 struct exchange
 {
-  exchange_callbacks events;
+  exchange_callbacks callbacks;
   exchange_options options;
   std::string bytes;
   std::unique_ptr<http::timer> timer;
@@ -198,9 +198,9 @@
   , parser{ parser_kind::response,
             { [this](head&& h) { return on_head(std::move(h)); },
               [this](std::string_view data) {
-                if (current && !skips_response && current->events.on_body) {
+                if (current && !skips_response && current->callbacks.on_body) {
                   const auto e = current;
-                  e->events.on_body(data);
+                  e->callbacks.on_body(data);
                 }
                 return !closed;
               },
@@ -370,8 +370,8 @@
   is_body_close_delimited = h.is_close_delimited;
   idle_ms = idle_limit_of(h.fields, pool->limits.idle_ms);
   const auto e = current;
-  if (e->events.on_head) {
-    e->events.on_head(h);
+  if (e->callbacks.on_head) {
+    e->callbacks.on_head(h);
   }
   return !closed;
 }
@@ -406,8 +406,8 @@
   if (e && !e->ended) {
     e->ended = true;
     e->timer->cancel();
-    const auto on_end = std::move(e->events.on_end);
-    e->events = {};
+    const auto on_end = std::move(e->callbacks.on_end);
+    e->callbacks = {};
     if (on_end) {
       on_end(state);
     }
@@ -452,7 +452,7 @@
   }
   // The callbacks may own the object that called this function, so they are
   // destroyed later.
-  asio::post(e->timer->get_executor(), [e] { e->events = {}; });
+  asio::post(e->timer->get_executor(), [e] { e->callbacks = {}; });
 }
 
 bool
@@ -480,10 +480,10 @@
 client::send(const std::string& address,
              const request& r,
              exchange_options options,
-             exchange_callbacks events)
+             exchange_callbacks callbacks)
 {
   auto e = std::make_shared<detail::exchange>();
-  e->events = std::move(events);
+  e->callbacks = std::move(callbacks);
   e->bytes = encode(r);
   e->timer = std::make_unique<http::timer>(
     impl_->io, std::chrono::milliseconds{ options.timeout_ms });
@@ -515,23 +515,23 @@
               std::size_t max_bytes)
 {
   auto collected = std::make_shared<response>();
-  exchange_callbacks events;
-  events.on_head = [collected](const head& h) {
+  exchange_callbacks callbacks;
+  callbacks.on_head = [collected](const head& h) {
     collected->status = h.status;
     collected->fields = h.fields;
   };
-  events.on_body = [collected, max_bytes](std::string_view data) {
+  callbacks.on_body = [collected, max_bytes](std::string_view data) {
     if (collected->body.size() <= max_bytes) {
       collected->body += data;
     }
   };
-  events.on_end =
+  callbacks.on_end =
     [collected, max_bytes, done = std::move(done)](exchange_outcome state) {
       const bool oversized = collected->body.size() > max_bytes;
       done(oversized ? exchange_outcome::malformed : state,
            std::move(*collected));
     };
-  return send(address, r, std::move(options), std::move(events));
+  return send(address, r, std::move(options), std::move(callbacks));
 }
 
 void
--- a/cactusford/http/client.h
+++ b/cactusford/http/client.h
@@ -106,7 +106,7 @@
   pending_request send(const std::string& address,
                        const request& r,
                        exchange_options options,
-                       exchange_callbacks events);
+                       exchange_callbacks callbacks);
 
   // Sends a request and collects the complete response. A body longer than
   // `max_bytes` is reported as malformed.
--- a/cactusford/http/exchange-test.cc
+++ b/cactusford/http/exchange-test.cc
@@ -25,7 +25,7 @@
   std::deque<std::string> script;
   int connections = 0;
   // Connections left open without a response.
-  std::vector<std::shared_ptr<asio::ip::tcp::socket>> silent;
+  std::vector<std::shared_ptr<asio::ip::tcp::socket>> unanswered;
 
   explicit scripted_peer(asio::io_context& context)
     : io{ context }
@@ -59,7 +59,7 @@
                            return;
                          }
                          if (script.empty()) {
-                           silent.push_back(s);
+                           unanswered.push_back(s);
                            return;
                          }
                          const auto text = script.front();
@@ -198,17 +198,17 @@
   o.reset_on_abandon = true;
   auto sent =
     c.fetch(peer.address(), get("1"), o, [](exchange_outcome, response&&) {});
-  while (peer.silent.empty()) {
+  while (peer.unanswered.empty()) {
     io.run_one();
   }
   asio::error_code seen;
   bool ended = false;
   std::string buffer(16, '\0');
-  peer.silent.front()->async_read_some(asio::buffer(buffer),
-                                       [&](asio::error_code ec, std::size_t) {
-                                         seen = ec;
-                                         ended = true;
-                                       });
+  peer.unanswered.front()->async_read_some(
+    asio::buffer(buffer), [&](asio::error_code ec, std::size_t) {
+      seen = ec;
+      ended = true;
+    });
   sent.cancel();
   while (!ended) {
     io.run_one();
--- a/cactusford/http/parser.cc
+++ b/cactusford/http/parser.cc
@@ -9,7 +9,7 @@
 struct parser::impl
 {
   http_parser raw{};
-  parser_callbacks events;
+  parser_callbacks callbacks;
   head current;
   bool last_was_value = false;
   bool is_inside = false;
@@ -64,10 +64,10 @@
 
 } // namespace
 
-parser::parser(parser_kind kind, parser_callbacks events)
+parser::parser(parser_kind kind, parser_callbacks callbacks)
   : impl_{ std::make_unique<impl>() }
 {
-  impl_->events = std::move(events);
+  impl_->callbacks = std::move(callbacks);
   http_parser_init(&impl_->raw,
                    kind == parser_kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
   impl_->raw.data = impl_.get();
@@ -79,7 +79,7 @@
 
 template<typename Impl>
 const http_parser_settings&
-callbacks()
+parser_settings()
 {
   static const http_parser_settings settings = [] {
     http_parser_settings s;
@@ -117,16 +117,16 @@
       self.current.keep_alive = http_should_keep_alive(p) != 0;
       self.in_head = false;
       self.head_bytes = 0;
-      return self.pause_unless(self.events.on_head(std::move(self.current)));
+      return self.pause_unless(self.callbacks.on_head(std::move(self.current)));
     };
     s.on_body = [](http_parser* p, const char* at, std::size_t size) {
       auto& self = Impl::of(p);
-      return self.pause_unless(self.events.on_body({ at, size }));
+      return self.pause_unless(self.callbacks.on_body({ at, size }));
     };
     s.on_message_complete = [](http_parser* p) {
       auto& self = Impl::of(p);
       self.is_inside = false;
-      return self.pause_unless(self.events.on_end());
+      return self.pause_unless(self.callbacks.on_end());
     };
     return s;
   }();
@@ -142,7 +142,7 @@
     return 0;
   }
   const auto consumed = http_parser_execute(
-    &impl_->raw, &callbacks<impl>(), bytes.data(), bytes.size());
+    &impl_->raw, &parser_settings<impl>(), bytes.data(), bytes.size());
   const auto error = HTTP_PARSER_ERRNO(&impl_->raw);
   if (impl_->raw.upgrade != 0 || (error != HPE_OK && error != HPE_PAUSED)) {
     impl_->malformed = true;
@@ -159,7 +159,7 @@
   if (impl_->malformed || !impl_->is_inside) {
     return false;
   }
-  http_parser_execute(&impl_->raw, &callbacks<impl>(), "", 0);
+  http_parser_execute(&impl_->raw, &parser_settings<impl>(), "", 0);
   return !impl_->is_inside;
 }
 
--- a/cactusford/http/parser.h
+++ b/cactusford/http/parser.h
@@ -48,7 +48,7 @@
 class parser
 {
 public:
-  parser(parser_kind kind, parser_callbacks events);
+  parser(parser_kind kind, parser_callbacks callbacks);
   ~parser();
   parser(const parser&) = delete;
   parser& operator=(const parser&) = delete;
--- a/cactusford/http/server.cc
+++ b/cactusford/http/server.cc
@@ -58,7 +58,7 @@
   server::handler handle;
   asio::ip::tcp::acceptor acceptor;
   http::timer sweep_timer;
-  std::unordered_set<server_connection*> connections_open;
+  std::unordered_set<server_connection*> open_connections;
   std::size_t active_requests = 0;
   bool sweeping = false;
   bool draining = false;
@@ -120,12 +120,12 @@
                 return false;
               } } }
 {
-  owner->connections_open.insert(this);
+  owner->open_connections.insert(this);
 }
 
 server_connection::~server_connection()
 {
-  owner->connections_open.erase(this);
+  owner->open_connections.erase(this);
 }
 
 void
@@ -356,7 +356,7 @@
     if (self->closed) {
       return;
     }
-    if (!ec && self->connections_open.size() < self->limits.connections) {
+    if (!ec && self->open_connections.size() < self->limits.connections) {
       configure_socket(socket);
       std::make_shared<server_connection>(self, std::move(socket))->read();
       self->sweep();
@@ -380,7 +380,7 @@
     }
     const auto now = now_ms();
     std::vector<std::shared_ptr<server_connection>> expired;
-    for (auto* c : self->connections_open) {
+    for (auto* c : self->open_connections) {
       const auto limit = c->parser.inside_message() || !c->read_ahead.empty()
                            ? self->limits.head_ms
                            : self->limits.idle_ms;
@@ -391,7 +391,7 @@
     for (const auto& c : expired) {
       c->close();
     }
-    if (!self->connections_open.empty()) {
+    if (!self->open_connections.empty()) {
       self->sweep();
     }
   });
@@ -539,7 +539,7 @@
   asio::error_code ignored;
   state_->acceptor.close(ignored);
   std::vector<std::shared_ptr<detail::server_connection>> open;
-  for (auto* c : state_->connections_open) {
+  for (auto* c : state_->open_connections) {
     open.push_back(c->shared_from_this());
   }
   for (const auto& c : open) {
@@ -556,7 +556,7 @@
 std::size_t
 server::idle_connections() const
 {
-  return state_->connections_open.size() - state_->active_requests;
+  return state_->open_connections.size() - state_->active_requests;
 }
 
 std::uint16_t
--- a/cactusford/http/server.h
+++ b/cactusford/http/server.h
@@ -18,7 +18,9 @@
 {
   std::size_t head_bytes = 16U << 10;
   std::size_t body_bytes = 32U << 20;
+  // Time to receive a complete request.
   std::uint64_t head_ms = 3000;
+  // Time that a connection without a request is kept open.
   std::uint64_t idle_ms = 15000;
   std::size_t connections = 2000;
 
--- a/cactusford/link/link.cc
+++ b/cactusford/link/link.cc
@@ -350,7 +350,7 @@
 {
   input_.append(reinterpret_cast<const char*>(data), size);
   std::size_t at = 0;
-  const auto keep = shared_from_this();
+  const auto self = shared_from_this();
   while (input_.size() - at >= header_size) {
     const auto length = read_little_endian(input_.data() + at, length_size);
     if (length > l.max_message) {
@@ -385,7 +385,7 @@
   if (!ec && !input_.empty()) {
     ec = link_error::closed_early;
   }
-  const auto keep = shared_from_this();
+  const auto self = shared_from_this();
   const auto handler = std::move(on_close);
   on_close = nullptr;
   on_message = nullptr;
--- a/cactusford/link/link.h
+++ b/cactusford/link/link.h
@@ -34,7 +34,9 @@
 
 struct limits
 {
+  // Bytes of one received message.
   std::size_t max_message = 8U << 20;
+  // Bytes of one stream that wait to be sent to a slow peer.
   std::size_t max_buffered = 32U << 20;
   std::uint32_t max_streams = 4096;
   std::uint32_t max_connections = 4096;
--- a/cactusford/platform/client.cc
+++ b/cactusford/platform/client.cc
@@ -39,7 +39,7 @@
 }
 
 std::string
-path_of(const std::string& kind, const std::string& name)
+object_path(const std::string& kind, const std::string& name)
 {
   return "/v1/objects/" + kind + "/" + name;
 }
@@ -98,7 +98,7 @@
 client::get(const std::string& kind, const std::string& name)
 {
   ++state_->calls;
-  const auto response = state_->connect(0)->Get(path_of(kind, name));
+  const auto response = state_->connect(0)->Get(object_path(kind, name));
   if (!response || (response->status != ok && response->status != not_found)) {
     return { {}, unavailable("get " + kind + "/" + name) };
   }
@@ -159,7 +159,7 @@
                    { "request_id", w.request_id },
                    { "deleted", w.remove } };
   const auto response = state_->connect(0)->Put(
-    path_of(w.kind, w.name), body.dump(), "application/json");
+    object_path(w.kind, w.name), body.dump(), "application/json");
   if (response && response->status == ok) {
     const auto reply = json::parse(response->body, nullptr, false);
     return { reply.at("version").get<std::uint64_t>(), {} };
--- a/cactusford/process/daemon.h
+++ b/cactusford/process/daemon.h
@@ -106,8 +106,9 @@
 std::uint64_t
 uuid_time_ms(std::string_view uuid);
 
-// Parses the command line option `--settings FILE`. Returns the path, or prints
-// a one-line error, sets `exit_code` and returns an empty string.
+// Parses the command line: `--settings FILE`, or `--help` to print the help.
+// Returns the path. On an error, prints one line, sets `exit_code` and returns
+// an empty string.
 std::string
 parse_settings_path(int argc, char** argv, const char* about, int& exit_code);
 
--- a/cactusford/process/line_log.cc
+++ b/cactusford/process/line_log.cc
@@ -28,7 +28,7 @@
   log_limits limits;
   std::string buffer;
   bool scheduled = false;
-  std::uint64_t second = 0;
+  std::uint64_t current_second = 0;
   std::map<std::string, std::uint32_t> line_counts;
   std::uint64_t dropped = 0;
 };
@@ -130,10 +130,10 @@
   }
   auto& s = *instance;
   constexpr std::uint64_t ms_per_second = 1000;
-  const auto second = timeline::wall_ms() / ms_per_second;
-  if (second != s.second) {
+  const auto current_second = timeline::wall_ms() / ms_per_second;
+  if (current_second != s.current_second) {
     report_skipped_lines(s);
-    s.second = second;
+    s.current_second = current_second;
   }
   if (++s.line_counts[event_name(e.text())] <= s.limits.lines_per_second) {
     append(s, e.text());
