--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -7,7 +7,7 @@
 #include "cactusford/http/socket.h"
 #include "cactusford/routes/table.h"
 #include "standins/child.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "standins/object_store.h"
 
 #include <asio/io_context.hpp>
@@ -29,7 +29,7 @@
 namespace cactusford::testing {
 
 using nlohmann::json;
-using standins::frail_service;
+using standins::crashing_service;
 using standins::object_store;
 
 constexpr const char* entry_program =
@@ -60,7 +60,7 @@
   asio::io_context io;
   http::client http{ io };
   object_store store{ io };
-  frail_service service;
+  crashing_service service;
   std::vector<entry_process> entries;
   std::string folder;
   int next_id = 0;
@@ -229,7 +229,7 @@
 
   void wait_for_servers()
   {
-    run_until([this] { return service.all_up(); });
+    run_until([this] { return service.all_running(); });
     // Entries coalesce changes of backend servers before they refresh the list.
     constexpr std::uint64_t propagation_ms = 800;
     run_for(propagation_ms);
--- a/tests/quarantine-items-test.cc
+++ b/tests/quarantine-items-test.cc
@@ -2,7 +2,7 @@
 // which crash the servers that score. Entries, store and engines run in one
 // process.
 #include "cactusford/testing/section.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "tests/batches_cluster.h"
 
 using namespace cactusford;
@@ -34,7 +34,7 @@
   {
     const auto id = "engine-" + std::to_string(all.size());
     all.push_back(std::make_unique<stream_engine>(w.io, id));
-    all.back()->fatal_body = poison_body;
+    all.back()->poison_body = poison_body;
     for (const auto& e : w.entries) {
       e->announce_backend(id, "engines", all.back()->address(), 1);
     }
@@ -43,7 +43,7 @@
   std::size_t crashes() const
   {
     return static_cast<std::size_t>(std::count_if(
-      all.begin(), all.end(), [](const auto& e) { return e->has_ended; }));
+      all.begin(), all.end(), [](const auto& e) { return e->has_crashed; }));
   }
 
   // Adds a new engine for each one that has crashed.
@@ -148,8 +148,8 @@
   for (int i = 0; i < crashes; ++i) {
     engines.run_for(150);
     auto& victim = *engines.all[engines.all.size() - 1 - i % 3];
-    victim.end();
-    engines.run_until([&] { return victim.has_ended; });
+    victim.crash();
+    engines.run_until([&] { return victim.has_crashed; });
     engines.add();
     slow_engines();
   }
@@ -170,18 +170,18 @@
   auto& e = *w.entries[0];
   backends::drop(e.registry, "s1");
   e.quarantine_manager.start();
-  standins::frail_options o;
+  standins::crashing_service_options o;
   o.service = "scorers";
   std::set<std::string> poison_bodies;
-  o.is_fatal = [&](const http::request& r) {
-    const bool is_fatal =
+  o.is_poison = [&](const http::request& r) {
+    const bool is_poison =
       http::find(r.fields, "Id").value_or("") == "score-item0";
-    if (is_fatal) {
+    if (is_poison) {
       poison_bodies.insert(r.body);
     }
-    return is_fatal;
+    return is_poison;
   };
-  standins::frail_service scorers{ w.io, w.store, o };
+  standins::crashing_service scorers{ w.io, w.store, o };
   store::watcher backend_watcher{
     e.io,
     e.store,
@@ -204,10 +204,10 @@
   auto j = json::parse(submission(6));
   j["items"][0]["scorer_body"] = "fatal";
   cr_assert_eq(w.call(e, "POST", j.dump()), 202);
-  w.run_until([&] { return scorers.ends() >= 3; });
+  w.run_until([&] { return scorers.crashes() >= 3; });
   const auto until = http::now_ms() + 3000;
   w.run_until([&] { return http::now_ms() >= until; });
-  cr_assert_leq(scorers.ends(), max_crashes);
+  cr_assert_leq(scorers.crashes(), max_crashes);
   cr_assert(poison_bodies == std::set<std::string>{ "fatal" },
             "each run must get the bytes that were submitted");
   const auto page = w.read(e);
