--- a/cactusford/configuration/declaration.cc
+++ b/cactusford/configuration/declaration.cc
@@ -116,7 +116,7 @@
   if (document.is_discarded()) {
     return { error_kind::bad_request, "spec is not JSON" };
   }
-  if (auto error = settings::check(schema->second, document)) {
+  if (auto error = settings::validate(schema->second, document)) {
     return { error_kind::bad_request, kind + "/" + name + " " + error.detail };
   }
   return {};
--- a/cactusford/edge/edge.cc
+++ b/cactusford/edge/edge.cc
@@ -271,7 +271,7 @@
     [this](const http::call& c) {
       metrics.set("store_calls", static_cast<double>(store.calls()));
       metrics.set("backend_connections_opened",
-                  static_cast<double>(http.opened()));
+                  static_cast<double>(http.connections_opened()));
       metrics.set("batches_owned", static_cast<double>(batch_manager.owned()));
       export_view_metrics();
       export_quarantine_metrics();
@@ -470,7 +470,7 @@
                             fresh->workspaces ? fresh->workspaces->all.size()
                                               : std::size_t{ 0 })
                       .with("revision", o.revision));
-  caller_server.limit(fresh->limits);
+  caller_server.set_limits(fresh->limits);
   table = std::make_shared<const routes::table>(std::move(*fresh));
   batch_manager.on_backends();
 }
@@ -569,7 +569,7 @@
   }
   if (route->kind == routes::call_kind::rollout) {
     const auto remaining_ms =
-      http::number(request.fields, wire.headers.deadline_ms)
+      http::find_number(request.fields, wire.headers.deadline_ms)
         .value_or(route->timeout_ms);
     batch_manager.accept(
       c, id, caller.workspace, c.received_ms() + remaining_ms);
@@ -664,14 +664,14 @@
   f.workspace = caller.workspace;
   f.route = r;
   const auto caller_wait_ms =
-    http::number(f.request.fields, wire.headers.deadline_ms)
+    http::find_number(f.request.fields, wire.headers.deadline_ms)
       .value_or(r.timeout_ms);
   f.give_up_ms = c.received_ms() + std::min(caller_wait_ms, r.timeout_ms);
   const auto cancel =
     calls.start(std::move(f), [this, c, id](forward_outcome&& o) {
       on_forwarded(c, id, std::move(o));
     });
-  c.on_gone([this, cancel, id] {
+  c.on_disconnect([this, cancel, id] {
     metrics.add("calls_abandoned");
     process::log_line(
       timeline::event{ "caller_disconnected" }.with("request", id));
@@ -776,7 +776,7 @@
   is_leaving = true;
   last_announced_ms = 0;
   leave_started_ms = http::now_ms();
-  caller_server.leave();
+  caller_server.start_draining();
   store.stop_relaying();
   batch_manager.leave([this] { has_handed_over_batches = true; });
   meter.leave();
@@ -787,13 +787,14 @@
 edge_process::poll_drained()
 {
   const auto drain_ms = http::now_ms() - leave_started_ms;
-  const bool idle = caller_server.busy() == 0 && peer_server.busy() == 0 &&
+  const bool idle = caller_server.active_requests() == 0 &&
+                    peer_server.active_requests() == 0 &&
                     drain_ms >= min_drain_ms;
   const auto limit = runtime.settings.grace_ms - kill_margin_ms;
   if ((idle && has_handed_over_batches && meter.has_left()) ||
       drain_ms >= limit) {
     process::log_line(timeline::event{ "left" }
-                        .with("busy", caller_server.busy())
+                        .with("busy", caller_server.active_requests())
                         .with("stayed_ms", drain_ms));
     runtime.stop();
     return;
--- a/cactusford/entry/entry.cc
+++ b/cactusford/entry/entry.cc
@@ -4,7 +4,7 @@
 #include "cactusford/entry/http.h"
 #include "cactusford/entry/owner.h"
 #include "cactusford/entry/rpc.h"
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/timeline/event.h"
 
 #include <iostream>
@@ -95,7 +95,7 @@
       stop();
       return;
     }
-    daemon_.after(tick_ms, [this] { tick(); });
+    daemon_.run_after(tick_ms, [this] { tick(); });
   }
 
   // Waiting fetches need this thread in order to end, so it keeps running while
@@ -103,7 +103,7 @@
   void stop()
   {
     daemon_.links.stop_listening();
-    daemon_.work(
+    daemon_.run_on_worker(
       [this] {
         rpc_.stop();
         return true;
--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -2,7 +2,7 @@
 
 #include "cactusford/configuration/configuration.pb.h"
 #include "cactusford/configuration/tree.h"
-#include "cactusford/link/ask.h"
+#include "cactusford/link/request.h"
 #include "cactusford/operators/operators.grpc.pb.h"
 #include "cactusford/rollout/rollout.grpc.pb.h"
 #include "cactusford/timeline/event.h"
@@ -187,7 +187,7 @@
       done(last_reply);
       return;
     }
-    link::ask(
+    link::send_request(
       daemon.io,
       daemon.links,
       link::address_from(found->second.value.link),
@@ -245,7 +245,7 @@
   result<std::uint64_t> put(platform::write w)
   {
     if (w.request_id.empty()) {
-      w.request_id = process::new_id();
+      w.request_id = process::generate_id();
     }
     auto r = daemon.platform.put(w);
     if (r) {
@@ -425,13 +425,13 @@
                                        const std::string& request)
   {
     return run_on_io<result<std::string>>([=, this](auto done) {
-      link::ask(daemon.io,
-                daemon.links,
-                link::address_from(peer),
-                path,
-                request,
-                request_timeout_ms,
-                done);
+      link::send_request(daemon.io,
+                         daemon.links,
+                         link::address_from(peer),
+                         path,
+                         request,
+                         request_timeout_ms,
+                         done);
     });
   }
 
--- a/cactusford/operators/command.cc
+++ b/cactusford/operators/command.cc
@@ -37,7 +37,8 @@
   "  get KIND [NAME]          show declarations\n"
   "  diff -f FILE|DIR         show what apply would change\n"
   "  delete KIND NAME         delete a declaration\n"
-  "  status [--watch]         show instances, trainers, configuration, refusals\n"
+  "  status [--watch]         show instances, trainers, configuration, "
+  "refusals\n"
   "  timeline DIR             merge and show the event logs below DIR\n"
   "  check-history DIR        check event logs for broken promises\n\n"
   "Set entries with --entry or CACTUSFORD_ENTRIES (comma-separated).";
@@ -124,7 +125,7 @@
     r.set_expected_version(o.expected_version >= 0
                              ? static_cast<std::uint64_t>(o.expected_version)
                              : stored.value.version());
-    r.set_request_id(process::new_id());
+    r.set_request_id(process::generate_id());
     const auto answer = c.apply(r);
     if (!answer) {
       return fail(answer.error);
@@ -209,7 +210,7 @@
   r.set_kind(o.arguments[1]);
   r.set_name(o.arguments[2]);
   r.set_expected_version(stored.value.version());
-  r.set_request_id(process::new_id());
+  r.set_request_id(process::generate_id());
   const auto answer = c.remove(r);
   if (!answer) {
     return fail(answer.error);
--- a/cactusford/rollout/client.cc
+++ b/cactusford/rollout/client.cc
@@ -153,7 +153,7 @@
   // A retry uses the same id. Otherwise, after a lost response, it would be
   // reported as a conflict.
   if (s.publish_id.empty()) {
-    s.publish_id = process::new_id();
+    s.publish_id = process::generate_id();
   }
   publish_request request;
   request.set_trainer(s.options.name_);
--- a/cactusford/sidecar/call_handler.cc
+++ b/cactusford/sidecar/call_handler.cc
@@ -278,7 +278,7 @@
   const auto& work = c.request.completion();
   c.swap_epoch = weights_.swap_epoch(work.model());
   c.version = weights_.serving(work.model());
-  const engine::generation g{
+  const engine::generation_request g{
     c.request.request_id(),
     c.request.attempt(),
     work.model(),
@@ -289,14 +289,14 @@
     static_cast<std::uint32_t>(admission::tier_of(
       static_cast<admission::call_class>(c.request.call_class())))
   };
-  daemon_.work(
+  daemon_.run_on_worker(
     [this, id = c.id, g, cancelled = c.cancelled] {
       return backend_.generate(
         g, *cancelled, [this, id](const engine::token_chunk& chunk) {
           asio::post(daemon_.io, [this, id, chunk] { on_chunk(id, chunk); });
         });
     },
-    [this, id = c.id](const engine::generation_end& end) {
+    [this, id = c.id](const engine::generation_result& end) {
       on_generation_end(id, end);
     });
 }
@@ -314,10 +314,11 @@
   const auto now = process::steady_ms();
   const auto left =
     static_cast<std::uint32_t>(c.deadline > now ? c.deadline - now : 1);
-  daemon_.work([this, r, left] { return backend_.call(r, left); },
-               [this, id = c.id](const result<engine::service_answer>& a) {
-                 on_answer(id, a);
-               });
+  daemon_.run_on_worker(
+    [this, r, left] { return backend_.call(r, left); },
+    [this, id = c.id](const result<engine::service_answer>& a) {
+      on_answer(id, a);
+    });
 }
 
 // If the engine reports a weight version with each run of tokens, that version
@@ -370,7 +371,7 @@
 
 void
 call_handler::on_generation_end(std::uint64_t id,
-                                const engine::generation_end& end)
+                                const engine::generation_result& end)
 {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -7,7 +7,7 @@
 #include "cactusford/http/socket.h"
 #include "cactusford/routes/table.h"
 #include "standins/child.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "standins/object_store.h"
 
 #include <asio/io_context.hpp>
@@ -29,7 +29,7 @@
 namespace cactusford::testing {
 
 using nlohmann::json;
-using standins::frail_service;
+using standins::crashing_service;
 using standins::object_store;
 
 constexpr const char* entry_program =
@@ -42,7 +42,7 @@
 
 struct exchange_result
 {
-  http::end_state end = http::end_state::not_sent;
+  http::exchange_outcome end = http::exchange_outcome::not_sent;
   http::response value;
 };
 
@@ -60,7 +60,7 @@
   asio::io_context io;
   http::client http{ io };
   object_store store{ io };
-  frail_service service;
+  crashing_service service;
   std::vector<entry_process> entries;
   std::string folder;
   int next_id = 0;
@@ -193,9 +193,10 @@
     std::optional<exchange_result> result;
     http::exchange_options o;
     o.timeout_ms = 5000;
-    http.fetch(address, r, o, [&](http::end_state end, http::response&& a) {
-      result = { end, std::move(a) };
-    });
+    http.fetch(
+      address, r, o, [&](http::exchange_outcome end, http::response&& a) {
+        result = { end, std::move(a) };
+      });
     run_until([&] { return result.has_value(); });
     return *result;
   }
@@ -228,7 +229,7 @@
 
   void wait_for_servers()
   {
-    run_until([this] { return service.all_up(); });
+    run_until([this] { return service.all_running(); });
     // Entries coalesce changes of backend servers before they refresh the list.
     constexpr std::uint64_t propagation_ms = 800;
     run_for(propagation_ms);
--- a/tests/quarantine-test.cc
+++ b/tests/quarantine-test.cc
@@ -30,8 +30,8 @@
             const std::string& target = "/look/",
             const std::string& key = {})
 {
-  const auto before = c.service.ends();
-  for (std::size_t at = 0; c.service.ends() < before + crashes_to_quarantine;
+  const auto before = c.service.crashes();
+  for (std::size_t at = 0; c.service.crashes() < before + crashes_to_quarantine;
        ++at) {
     c.wait_for_servers();
     c.call(at % c.entries.size(), poison_body, target, key);
@@ -45,7 +45,7 @@
 is_quarantined(const answer& a)
 {
   constexpr std::uint64_t min_retry_after_s = 60;
-  const auto retry_after_s = http::number(a.value.fields, "Retry-After");
+  const auto retry_after_s = http::find_number(a.value.fields, "Retry-After");
   return a.value.status == 503 &&
          retry_after_s.value_or(0) >= min_retry_after_s;
 }
@@ -144,12 +144,12 @@
   cluster c{ "away", 2 };
   cr_assert_eq(c.call(0, "other").value.status, 200);
   bool is_store_down = true;
-  c.store.faults = [&](const store::call& call) {
+  c.store.inject_fault = [&](const store::call& call) {
     const bool is_report_write = call.op == store::operation::create;
     return is_store_down && is_report_write ? object_store::fault::refuse
                                             : object_store::fault::none;
   };
-  while (c.service.ends() < crashes_to_quarantine) {
+  while (c.service.crashes() < crashes_to_quarantine) {
     c.wait_for_servers();
     c.call(0, poison_body);
   }
@@ -195,7 +195,7 @@
         { { "Host", "h" }, { "Id", id }, { "Wait", "2000" } },
         body },
       o,
-      [this](http::end_state end, http::response&& response) {
+      [this](http::exchange_outcome end, http::response&& response) {
         --in_flight;
         quarantined += is_quarantined({ end, std::move(response) }) ? 1 : 0;
       });
@@ -256,18 +256,18 @@
   constexpr std::size_t servers = 4;
   for (std::size_t round = 0; round < rounds; ++round) {
     for (std::size_t s = 0; s < servers; ++s) {
-      c.service.reset_server(s);
+      c.service.reset_connections(s);
     }
     c.run_for(100);
     if (round % 2 == 0) {
-      c.service.end_server(round % servers);
+      c.service.crash_server(round % servers);
     } else {
       for (std::size_t s = 0; s < servers; ++s) {
-        c.service.end_server(s);
+        c.service.crash_server(s);
       }
     }
     // Continue before the entries learn of the new incarnations.
-    c.run_until([&c] { return c.service.all_up(); });
+    c.run_until([&c] { return c.service.all_running(); });
     c.run_for(100);
   }
   healthy.stop();
