--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -197,7 +197,7 @@
       r->name = "earlier";
     }
   }
-  result["in_force_ms_max"] = timeline::longest_in_force_ms(records);
+  result["in_force_ms_max"] = timeline::longest_propagation_ms(records);
   return result;
 }
 
--- a/bench/demo.cc
+++ b/bench/demo.cc
@@ -90,7 +90,7 @@
     }
   }
   const auto counts = count_received(records);
-  const auto in_force_ms = timeline::longest_in_force_ms(records);
+  const auto in_force_ms = timeline::longest_propagation_ms(records);
   const bool passed =
     violations == 0 && counts.lost == 0 && counts.duplicates == 0 &&
     counts.steps == o.steps * trainers && counts.live > 0 && counts.service > 0;
@@ -143,7 +143,7 @@
     const int code = fleet.wait_exit("trainers", trainers_timeout_ms);
     callers.stop();
     std::this_thread::sleep_for(std::chrono::milliseconds{ settle_ms });
-    std::cout << fleet.operate({ "status" }).second;
+    std::cout << fleet.run_operator_command({ "status" }).second;
     if (code != 0) {
       return report_failure("the trainers failed or did not exit in time");
     }
--- a/bench/faults.cc
+++ b/bench/faults.cc
@@ -188,7 +188,8 @@
         break;
       case 7:
         log_fault("lose_answers", "platform");
-        fleet_.platform_fault({ { "lose_answers", random_between(1, 4) } });
+        fleet_.inject_platform_fault(
+          { { "lose_answers", random_between(1, 4) } });
         break;
       case 8:
         stale_reads();
@@ -275,7 +276,7 @@
   void platform_outage()
   {
     log_fault("outage", "platform");
-    fleet_.platform_fault({ { "outage", true } });
+    fleet_.inject_platform_fault({ { "outage", true } });
     const auto name = random_daemon();
     const auto extra_fault = random_between(0, 3);
     sleep_for_ms(random_between(200, 1500));
@@ -287,22 +288,22 @@
       stop_gracefully(name);
     }
     sleep_for_ms(random_between(200, 2500));
-    fleet_.platform_fault({ { "outage", false } });
+    fleet_.inject_platform_fault({ { "outage", false } });
   }
 
   void stale_reads()
   {
     log_fault("stale", "platform");
-    fleet_.platform_fault({ { "stale_by", random_between(1, 20) } });
+    fleet_.inject_platform_fault({ { "stale_by", random_between(1, 20) } });
     sleep_for_ms(random_between(200, 1000));
-    fleet_.platform_fault({ { "stale_by", 0 } });
+    fleet_.inject_platform_fault({ { "stale_by", 0 } });
   }
 
   void weight_swap_fault()
   {
     const auto engine = random_engine();
     log_fault("swap", engine);
-    fleet_.backend_fault(
+    fleet_.inject_backend_fault(
       engine,
       { { random_between(0, 1) == 0 ? "fail_swaps" : "lose_swap_answers",
           random_between(1, 2) } });
@@ -342,10 +343,10 @@
 
   void heal()
   {
-    fleet_.platform_fault({ { "outage", false },
-                            { "slow_ms", 0 },
-                            { "lose_answers", 0 },
-                            { "stale_by", 0 } });
+    fleet_.inject_platform_fault({ { "outage", false },
+                                   { "slow_ms", 0 },
+                                   { "lose_answers", 0 },
+                                   { "stale_by", 0 } });
     update_balancer();
   }
 
--- a/bench/load.cc
+++ b/bench/load.cc
@@ -289,7 +289,7 @@
         sleep_for_ms(100);
         break;
       }
-      const auto id = process::new_id();
+      const auto id = process::generate_id();
       const httplib::Headers headers{
         { "X-Request-Id", id },
         { "X-Deadline-Ms", std::to_string(options_.deadline_ms) }
@@ -325,9 +325,10 @@
   entry_connection connection{ caller_index };
   std::uint64_t request_index = 0;
   while (!state_->stopped) {
-    const auto key = is_booking ? process::new_id() : std::string{};
+    const auto key = is_booking ? process::generate_id() : std::string{};
     const auto text = "seat " + std::to_string(caller_index) + "/" +
-                      std::to_string(request_index++) + "/" + process::new_id();
+                      std::to_string(request_index++) + "/" +
+                      process::generate_id();
     for (std::uint32_t i = 0; i <= options_.max_retries; ++i) {
       auto* c = connection.client(
         options_.entries(), options_.deadline_ms + client_timeout_margin_ms);
@@ -335,7 +336,7 @@
         sleep_for_ms(100);
         break;
       }
-      const auto id = process::new_id();
+      const auto id = process::generate_id();
       httplib::Headers headers{ { "X-Request-Id", id },
                                 { "X-Deadline-Ms",
                                   std::to_string(options_.deadline_ms) } };
--- a/cactusford/entry/http.cc
+++ b/cactusford/entry/http.cc
@@ -292,7 +292,7 @@
   {
     auto id = in.get_header_value("X-Request-Id");
     if (id.empty() || id.size() > 128) {
-      id = process::new_id();
+      id = process::generate_id();
     }
     timeline::log(timeline::event{ "request_accepted" }
                     .with("request", id)
@@ -456,7 +456,7 @@
       return;
     }
     const auto issued = number_from_header(
-      in, "Idempotency-Key-Issued-Ms", process::issue_time_of(key));
+      in, "Idempotency-Key-Issued-Ms", process::uuid_time_ms(key));
     if (!key.empty() && (issued == 0 || key.size() > 128)) {
       send_refusal(
         out,
--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -168,7 +168,7 @@
 {
   std::filesystem::create_directories(options_.folder);
   service_.listen("127.0.0.1:0");
-  store_.faults = [this](const store::call& c) {
+  store_.inject_fault = [this](const store::call& c) {
     using fault = standins::object_store::fault;
     constexpr std::uint64_t writes_per_lost_response = 3;
     const bool is_write = c.op != store::operation::watch &&
@@ -179,7 +179,7 @@
     }
     const bool loses_response = store_loses_responses_ && is_write &&
                                 random_() % writes_per_lost_response == 0;
-    return loses_response ? fault::lose_answer : fault::none;
+    return loses_response ? fault::drop_response : fault::none;
   };
   reserved_ports ports{ io_ };
   for (std::size_t i = 0; i < options_.plan.engines; ++i) {
@@ -294,11 +294,12 @@
     e.callers_address,
     r,
     o,
-    [this, &e, p, was_undisturbed](http::end_state end,
+    [this, &e, p, was_undisturbed](http::exchange_outcome end,
                                    http::response&& response) mutable {
       constexpr int ok = 200;
       constexpr int missing = 404;
-      if (end != http::end_state::complete || e.incarnation != p.incarnation ||
+      if (end != http::exchange_outcome::complete ||
+          e.incarnation != p.incarnation ||
           (response.status != ok && response.status != missing)) {
         return;
       }
@@ -567,17 +568,18 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t](http::end_state end, http::response&& response) {
+    [this, &t](http::exchange_outcome end, http::response&& response) {
       constexpr int accepted = 202;
       constexpr int refused = 503;
-      if (end == http::end_state::complete && response.status == accepted) {
+      if (end == http::exchange_outcome::complete &&
+          response.status == accepted) {
         invariants_.on_accepted(t.batch);
         read_results(t);
         return;
       }
       const bool not_run =
-        end == http::end_state::not_sent ||
-        (end == http::end_state::complete && response.status == refused);
+        end == http::exchange_outcome::not_sent ||
+        (end == http::exchange_outcome::complete && response.status == refused);
       t.only_refused = t.only_refused && not_run;
       const bool gives_up =
         t.only_refused && random_() % refusals_per_give_up == 0;
@@ -611,17 +613,19 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t, from, asked_ms](http::end_state end, http::response&& response) {
+    [this, &t, from, asked_ms](http::exchange_outcome end,
+                               http::response&& response) {
       constexpr int ok = 200;
       constexpr int missing = 404;
       if (has_finished_) {
         return;
       }
-      if (end == http::end_state::complete && response.status == missing) {
+      if (end == http::exchange_outcome::complete &&
+          response.status == missing) {
         invariants_.on_missing(t.batch, asked_ms);
       }
       const auto page = json::parse(response.body, nullptr, false);
-      if (end == http::end_state::complete && response.status == ok &&
+      if (end == http::exchange_outcome::complete && response.status == ok &&
           page.is_object()) {
         std::vector<observed_result> results;
         for (const auto& x : page.at("results")) {
@@ -658,12 +662,12 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t](http::end_state end, http::response&& response) {
+    [this, &t](http::exchange_outcome end, http::response&& response) {
       constexpr int ok = 200;
       if (has_finished_) {
         return;
       }
-      if (end == http::end_state::complete && response.status == ok) {
+      if (end == http::exchange_outcome::complete && response.status == ok) {
         invariants_.on_ended(t.batch, http::now_ms());
         start_step(t);
         return;
@@ -694,8 +698,8 @@
     random_entry().callers_address,
     r,
     o,
-    [this, id](http::end_state end, http::response&& response) {
-      if (end == http::end_state::complete) {
+    [this, id](http::exchange_outcome end, http::response&& response) {
+      if (end == http::exchange_outcome::complete) {
         const auto signature =
           std::string{ http::find(response.fields, "Signature").value_or("") };
         invariants_.on_call_answer(
--- a/soak/proxy.cc
+++ b/soak/proxy.cc
@@ -163,8 +163,8 @@
         new_connection->close();
         return;
       }
-      http::tune(new_connection->sockets[0]);
-      http::tune(new_connection->sockets[1]);
+      http::configure_socket(new_connection->sockets[0]);
+      http::configure_socket(new_connection->sockets[1]);
       new_connection->pump(0);
       new_connection->pump(1);
     });
--- a/tests/batches_cluster.h
+++ b/tests/batches_cluster.h
@@ -57,7 +57,7 @@
 {
   asio::io_context io;
   http::client http{ io };
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   backends::registry registry;
   routes::table_ptr table = test_route_table();
   http::server peer;
@@ -181,7 +181,7 @@
     } else if (r.method == "DELETE") {
       batch_manager->end(c, b);
     } else {
-      b.after = http::number(r.fields, "After").value_or(0);
+      b.after = http::find_number(r.fields, "After").value_or(0);
       batch_manager->read(c, b, false);
     }
   }
@@ -267,7 +267,7 @@
     http::exchange_options o;
     o.timeout_ms = hang_timeout_ms;
     caller.fetch(
-      e.front_address(), r, o, [&](http::end_state, http::response&& a) {
+      e.front_address(), r, o, [&](http::exchange_outcome, http::response&& a) {
         status = a.status;
         done = true;
       });
@@ -290,7 +290,7 @@
     http::exchange_options o;
     o.timeout_ms = hang_timeout_ms;
     caller.fetch(
-      e.front_address(), r, o, [&](http::end_state, http::response&& a) {
+      e.front_address(), r, o, [&](http::exchange_outcome, http::response&& a) {
         if (a.status == 200) {
           page = json::parse(a.body);
         }
@@ -353,7 +353,7 @@
       "127.0.0.1:" + std::to_string(e.peer.port()),
       r,
       o,
-      [&](http::end_state, http::response&& a) { status = a.status; });
+      [&](http::exchange_outcome, http::response&& a) { status = a.status; });
     run_until([&] { return status != 0; });
     return status;
   }
--- a/tests/views-test.cc
+++ b/tests/views-test.cc
@@ -72,16 +72,19 @@
     o.timeout_ms = 60000;
     auto request = c.request();
     remove_hop_by_hop(request.fields);
-    auto sent = std::make_shared<http::pending>();
-    *sent = client.fetch(
-      to, request, o, [this, c](http::end_state end, http::response&& r) {
-        answer_later(c, end, std::move(r));
-      });
-    c.on_gone([sent] { sent->cancel(); });
+    auto sent = std::make_shared<http::pending_request>();
+    *sent =
+      client.fetch(to,
+                   request,
+                   o,
+                   [this, c](http::exchange_outcome end, http::response&& r) {
+                     answer_later(c, end, std::move(r));
+                   });
+    c.on_disconnect([sent] { sent->cancel(); });
   }
 
   void answer_later(const http::call& c,
-                    http::end_state end,
+                    http::exchange_outcome end,
                     http::response&& r)
   {
     auto t = std::make_shared<http::timer>(
@@ -92,13 +95,15 @@
       });
   }
 
-  void answer(const http::call& c, http::end_state end, http::response&& r)
+  void answer(const http::call& c,
+              http::exchange_outcome end,
+              http::response&& r)
   {
     if (is_cut) {
       held_calls.push_back(c);
       return;
     }
-    if (end != http::end_state::complete) {
+    if (end != http::exchange_outcome::complete) {
       c.abort();
       return;
     }
@@ -111,7 +116,7 @@
 struct instance
 {
   http::client http;
-  edge::dialect dialect = standins::plain_dialect();
+  edge::dialect dialect = standins::json_dialect();
   http::server peer;
   std::unique_ptr<link> to_store;
   std::vector<std::unique_ptr<link>> to_relays;
