--- a/bench/load.cc
+++ b/bench/load.cc
@@ -32,11 +32,13 @@
 // The outcome of one HTTP exchange, as a caller sees it.
 struct outcome
 {
-  // answered, not_run, unknown, not_whole, cancelled or unreachable.
+  // One of answered, not_run, unknown, not_whole, cancelled and unreachable.
   std::string result = "unreachable";
+  // The content is what the request asked for, without gaps or repeats.
   bool is_complete = false;
   double first_token_ms = 0;
   std::uint32_t retry_after_ms = 0;
+  // Error kind, or empty.
   std::string error;
 };
 
--- a/soak/change_checker.h
+++ b/soak/change_checker.h
@@ -42,8 +42,8 @@
 class change_checker
 {
 public:
-  explicit change_checker(change_limits b = {})
-    : limits_{ b }
+  explicit change_checker(change_limits limits = {})
+    : limits_{ limits }
   {
   }
 
--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -67,8 +67,9 @@
 public:
   explicit reserved_ports(asio::io_context& io)
     : io_{ io }
-    , next_{ static_cast<std::uint16_t>(
-        first_port + static_cast<unsigned>(getpid()) % blocks * block) }
+    , next_{ static_cast<std::uint16_t>(first_port +
+                                        static_cast<unsigned>(getpid()) %
+                                          block_count * ports_per_block) }
   {
   }
 
@@ -91,8 +92,8 @@
   // Each process uses a block of its own, so that soak tests that run at the
   // same time do not collide.
   static constexpr unsigned first_port = 10000;
-  static constexpr unsigned block = 100;
-  static constexpr unsigned blocks = 200;
+  static constexpr unsigned ports_per_block = 100;
+  static constexpr unsigned block_count = 200;
 
   asio::io_context& io_;
   std::uint16_t next_;
@@ -294,11 +295,11 @@
     e.callers_address,
     r,
     o,
-    [this, &e, p, was_undisturbed](http::exchange_outcome end,
+    [this, &e, p, was_undisturbed](http::exchange_outcome outcome,
                                    http::response&& response) mutable {
       constexpr int ok = 200;
       constexpr int missing = 404;
-      if (end != http::exchange_outcome::complete ||
+      if (outcome != http::exchange_outcome::complete ||
           e.incarnation != p.incarnation ||
           (response.status != ok && response.status != missing)) {
         return;
@@ -568,18 +569,18 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t](http::exchange_outcome end, http::response&& response) {
+    [this, &t](http::exchange_outcome outcome, http::response&& response) {
       constexpr int accepted = 202;
       constexpr int refused = 503;
-      if (end == http::exchange_outcome::complete &&
+      if (outcome == http::exchange_outcome::complete &&
           response.status == accepted) {
         invariants_.on_accepted(t.batch);
         read_results(t);
         return;
       }
-      const bool not_run =
-        end == http::exchange_outcome::not_sent ||
-        (end == http::exchange_outcome::complete && response.status == refused);
+      const bool not_run = outcome == http::exchange_outcome::not_sent ||
+                           (outcome == http::exchange_outcome::complete &&
+                            response.status == refused);
       t.only_refused = t.only_refused && not_run;
       const bool gives_up =
         t.only_refused && random_() % refusals_per_give_up == 0;
@@ -613,20 +614,20 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t, from, asked_ms](http::exchange_outcome end,
+    [this, &t, from, asked_ms](http::exchange_outcome outcome,
                                http::response&& response) {
       constexpr int ok = 200;
       constexpr int missing = 404;
       if (has_finished_) {
         return;
       }
-      if (end == http::exchange_outcome::complete &&
+      if (outcome == http::exchange_outcome::complete &&
           response.status == missing) {
         invariants_.on_missing(t.batch, asked_ms);
       }
       const auto page = json::parse(response.body, nullptr, false);
-      if (end == http::exchange_outcome::complete && response.status == ok &&
-          page.is_object()) {
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == ok && page.is_object()) {
         std::vector<observed_result> results;
         for (const auto& x : page.at("results")) {
           results.push_back(
@@ -662,12 +663,13 @@
     random_entry().callers_address,
     r,
     o,
-    [this, &t](http::exchange_outcome end, http::response&& response) {
+    [this, &t](http::exchange_outcome outcome, http::response&& response) {
       constexpr int ok = 200;
       if (has_finished_) {
         return;
       }
-      if (end == http::exchange_outcome::complete && response.status == ok) {
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == ok) {
         invariants_.on_ended(t.batch, http::now_ms());
         start_step(t);
         return;
@@ -698,8 +700,8 @@
     random_entry().callers_address,
     r,
     o,
-    [this, id](http::exchange_outcome end, http::response&& response) {
-      if (end == http::exchange_outcome::complete) {
+    [this, id](http::exchange_outcome outcome, http::response&& response) {
+      if (outcome == http::exchange_outcome::complete) {
         const auto signature =
           std::string{ http::find(response.fields, "Signature").value_or("") };
         invariants_.on_call_answer(
