--- a/cactusford/operators/command.cc
+++ b/cactusford/operators/command.cc
@@ -5,7 +5,7 @@
 #include "cactusford/operators/files.h"
 #include "cactusford/process/daemon.h"
 #include "cactusford/timeline/history.h"
-#include "cactusford/timeline/merge.h"
+#include "cactusford/timeline/render.h"
 
 #include <google/protobuf/util/json_util.h>
 #include <nlohmann/json.hpp>
--- a/cactusford/timeline/history-test.cc
+++ b/cactusford/timeline/history-test.cc
@@ -1,7 +1,7 @@
 #include "cactusford/timeline/history.h"
 
 #include "cactusford/testing/section.h"
-#include "cactusford/timeline/merge.h"
+#include "cactusford/timeline/render.h"
 
 #include <criterion/criterion.h>
 
--- a/cactusford/timeline/page.cc
+++ b/cactusford/timeline/page.cc
@@ -1,4 +1,4 @@
-#include "cactusford/timeline/merge.h"
+#include "cactusford/timeline/render.h"
 
 #include <nlohmann/json.hpp>
 
