--- a/cactusford/configuration/relay.cc
+++ b/cactusford/configuration/relay.cc
@@ -91,7 +91,7 @@
     };
   }
 
-  bool ready() const { return ready_; }
+  bool is_ready() const { return ready_; }
   snapshot_ptr current() const { return state_.view; }
 
   coverage subtree_coverage() const
@@ -108,7 +108,7 @@
 
   std::uint64_t confirmed_age_ms() const
   {
-    return confirmed_ ? elapsed_ms(*confirmed_) : UINT64_MAX;
+    return confirmed_at_ ? elapsed_ms(*confirmed_at_) : UINT64_MAX;
   }
 
   void apply_objects(const std::vector<platform::object>& objects)
@@ -140,21 +140,21 @@
       parent_ = nullptr;
     }
     for (auto& [raw, child] : std::exchange(children_, {})) {
-      child.s->finish();
+      child.stream->finish();
     }
   }
 
 private:
   struct child_state
   {
-    link::stream_ptr s;
+    link::stream_ptr stream;
     std::uint64_t min_version = 0;
     std::uint32_t processes = 0;
   };
 
   // Loads the configuration for the first time. The process is not ready
-  // before, because after a restart it could otherwise use an older
-  // configuration than the one it had before.
+  // before, because it could otherwise use an older configuration after a
+  // restart than the one that it had accepted earlier.
   void load()
   {
     read_changes(0, [self = shared_from_this()](bool ok) {
@@ -219,7 +219,7 @@
         }
         if (list) {
           self->revision_ = std::max(self->revision_, list.value.revision);
-          self->confirmed_ = sent;
+          self->confirmed_at_ = sent;
           self->apply_objects(list.value.objects);
         }
         done(static_cast<bool>(list));
@@ -256,7 +256,7 @@
       return;
     }
     if (next.parents != position_.parents) {
-      failures_ = 0;
+      parent_failures_ = 0;
     }
     position_ = std::move(next);
     const auto& parents = position_.parents;
@@ -276,7 +276,8 @@
     if (parent_ || position_.parents.empty() || stopped_) {
       return;
     }
-    const auto& name = position_.parents[failures_ % position_.parents.size()];
+    const auto& name =
+      position_.parents[parent_failures_ % position_.parents.size()];
     const auto& instances = *state_.view->instances;
     const auto found = instances.find(name);
     if (found == instances.end()) {
@@ -296,7 +297,7 @@
                       .with("instance", self->parent_name_)
                       .with("error", ec.message()));
       self->parent_ = nullptr;
-      ++self->failures_;
+      ++self->parent_failures_;
     };
     send_report_to_parent();
   }
@@ -320,10 +321,10 @@
       objects.push_back(object_from(o));
     }
     if (u.age_ms() != UINT32_MAX) {
-      const auto at = steady::now() - milliseconds{ u.age_ms() };
+      const auto time = steady::now() - milliseconds{ u.age_ms() };
       if (u.max_version() >= state_.max_version &&
-          (!confirmed_ || *confirmed_ < at)) {
-        confirmed_ = at;
+          (!confirmed_at_ || *confirmed_at_ < time)) {
+        confirmed_at_ = time;
       }
     }
     apply_objects(objects);
@@ -351,7 +352,7 @@
       const auto& r = message.report();
       found->second.min_version = r.min_version();
       found->second.processes = r.processes();
-      sync_child(found->second.s, r);
+      sync_child(found->second.stream, r);
     }
   }
 
@@ -362,8 +363,8 @@
   {
     std::vector<platform::object> objects;
     if (r.digest() != state_.digest) {
-      const bool behind = r.max_version() < state_.max_version;
-      objects = newer_than(state_, behind ? r.max_version() : 0);
+      const bool is_behind = r.max_version() < state_.max_version;
+      objects = newer_than(state_, is_behind ? r.max_version() : 0);
     }
     send_update(s, objects);
   }
@@ -389,7 +390,7 @@
   void send_to_children(const std::vector<platform::object>& objects)
   {
     for (const auto& [raw, child] : children_) {
-      send_update(child.s, objects);
+      send_update(child.stream, objects);
     }
   }
 
@@ -458,10 +459,10 @@
   state state_;
   tree_position position_;
   std::uint64_t revision_ = 0;
-  std::optional<steady::time_point> confirmed_;
+  std::optional<steady::time_point> confirmed_at_;
   link::stream_ptr parent_;
   std::string parent_name_;
-  std::size_t failures_ = 0;
+  std::size_t parent_failures_ = 0;
   std::unordered_map<link::stream*, child_state> children_;
   bool ready_ = false;
   bool watching_ = false;
@@ -494,7 +495,7 @@
 bool
 relay::is_ready() const
 {
-  return impl_->ready();
+  return impl_->is_ready();
 }
 
 snapshot_ptr
--- a/cactusford/configuration/relay.h
+++ b/cactusford/configuration/relay.h
@@ -14,8 +14,8 @@
 
 namespace cactusford::configuration {
 
-// Number of processes that have at least a version, as far as this process
-// knows.
+// States that `processes` processes have at least `version`, as far as this
+// process knows.
 struct coverage
 {
   std::uint64_t version = 0;
@@ -49,7 +49,8 @@
 
   snapshot_ptr current() const;
 
-  // Covers this process and all that read from it, directly or indirectly.
+  // Returns the coverage of this process and of all that read from it, directly
+  // or indirectly.
   coverage subtree_coverage() const;
 
   // Merges objects that did not come through the relay, such as those that this
--- a/cactusford/operators/command.cc
+++ b/cactusford/operators/command.cc
@@ -37,8 +37,7 @@
   "  get KIND [NAME]          show declarations\n"
   "  diff -f FILE|DIR         show what apply would change\n"
   "  delete KIND NAME         delete a declaration\n"
-  "  status [--watch]         show instances, trainers, configuration, "
-  "refusals\n"
+  "  status [--watch]         instances, trainers, configuration, refusals\n"
   "  timeline DIR             merge and show the event logs below DIR\n"
   "  check-history DIR        check event logs for broken promises\n\n"
   "Set entries with --entry or CACTUSFORD_ENTRIES (comma-separated).";
--- a/cactusford/rollout/step.h
+++ b/cactusford/rollout/step.h
@@ -31,7 +31,7 @@
   std::uint64_t tokens = 0;
   // Open calls for the slot: two while a duplicate runs.
   std::uint32_t calls = 0;
-  // Set from `ready` on.
+  // Set in phase `ready`.
   std::optional<sample> body;
 };
 
@@ -70,6 +70,8 @@
 bool
 begin_scoring(step& s, std::uint32_t index);
 
+// Stores the scored sample and marks the slot as ready. Has no effect if the
+// slot is not in phase `scoring`.
 void
 fill(step& s, std::uint32_t index, sample body);
 
--- a/cactusford/timeline/history.cc
+++ b/cactusford/timeline/history.cc
@@ -78,7 +78,7 @@
   }
 
   // Returns the runs that produced the first `tokens` tokens.
-  runs first(std::uint64_t tokens) const
+  runs runs_up_to(std::uint64_t tokens) const
   {
     runs r;
     for (auto a = first_tokens_.begin(); a != first_tokens_.end(); ++a) {
@@ -137,11 +137,12 @@
     }
     ++r.checked;
     const auto reported = runs_from(e.value("runs"));
-    const auto actual = requests[e.value("sample")].first(total_of(reported));
+    const auto actual =
+      requests[e.value("sample")].runs_up_to(total_of(reported));
     if (reported.empty() || reported != actual) {
       fail(r,
            e,
-           "sample " + e.value("sample") + " has wrong versions " +
+           "sample " + e.value("sample") + " reports wrong runs " +
              e.value("runs"));
     }
   }
@@ -194,7 +195,7 @@
 }
 
 promise_result
-check_whole(const std::vector<record>& records)
+check_complete_response(const std::vector<record>& records)
 {
   promise_result r{ "whole_answer", 0, {} };
   for (const auto& e : records) {
@@ -324,7 +325,7 @@
 }
 
 bool
-is_exit(const record& e)
+ends_uptime(const record& e)
 {
   return e.name == "process_stopped" || e.name == "process_killed" ||
          e.name == "process_paused";
@@ -347,7 +348,7 @@
     auto& process_uptimes = uptimes[target.empty() ? e.process : target];
     if (e.name == "configuration_ready" || e.name == "process_resumed") {
       process_uptimes.push_back({ e.at.ms, UINT64_MAX });
-    } else if ((is_exit(e) || e.name == "process_leaving") &&
+    } else if ((ends_uptime(e) || e.name == "process_leaving") &&
                !process_uptimes.empty()) {
       process_uptimes.back().to = std::min(process_uptimes.back().to, e.at.ms);
     }
@@ -490,7 +491,7 @@
 check_history(const std::vector<record>& records, const history_limits& l)
 {
   return { check_attribution(records),     check_staleness(records),
-           check_exactly_once(records),    check_whole(records),
+           check_exactly_once(records),    check_complete_response(records),
            check_not_run(records),         check_at_most_once(records),
            check_leaving(records, l),      check_graceful(records),
            check_configuration(records, l) };
