--- a/cactusford/entry/rpc.cc
+++ b/cactusford/entry/rpc.cc
@@ -386,17 +386,17 @@
   // processes below them have, so a few requests cover all processes.
   std::uint32_t count_in_force(const configuration::snapshot& current)
   {
-    std::uint32_t subtree_coverage = 0;
+    std::uint32_t covered_processes = 0;
     for (const auto& peer : roots_of(current)) {
       const auto r =
         request_and_wait(peer, "/configuration", status_request_bytes());
       configuration::relay_message m;
       if (r && m.ParseFromString(r.value) &&
           m.update().covered_version() >= current.version) {
-        subtree_coverage += m.update().covered_processes();
+        covered_processes += m.update().covered_processes();
       }
     }
-    return subtree_coverage;
+    return covered_processes;
   }
 
   static std::string status_request_bytes()
