--- /dev/null
+++ b/cactusford/batches/engine_usage_reports.cc
@@ -0,0 +1,100 @@
+#include "cactusford/batches/manager_impl.h"
+#include "cactusford/http/socket.h"
+#include "cactusford/process/line_log.h"
+
+namespace cactusford::batches {
+
+namespace {
+
+// Minimum time between two reports of one owner to another. With a longer
+// interval, runs of another owner reach the same engines before a change is
+// reported; with a shorter one, each change costs a message of its own.
+constexpr std::uint64_t report_interval_ms = 100;
+
+// Unchanged usage is reported again before the last report expires.
+constexpr std::uint64_t report_refresh_ms = 400;
+
+constexpr std::uint64_t report_timeout_ms = 300;
+
+} // namespace
+
+engine_runs
+manager::impl::own_runs() const
+{
+  engine_runs runs;
+  for (const auto& [id, b] : batches) {
+    if (!b->owned) {
+      continue;
+    }
+    for (const auto& i : b->items) {
+      if (i.stage == item_stage::running) {
+        ++runs[i.backend.id];
+      }
+    }
+  }
+  return runs;
+}
+
+std::set<std::string>
+manager::impl::other_owners() const
+{
+  std::set<std::string> addresses;
+  for (const auto& [id, b] : batches) {
+    const auto& address = b->stored.owner_address;
+    if (b->is_open() && !address.empty() && address != deps.address) {
+      addresses.insert(address);
+    }
+  }
+  return addresses;
+}
+
+void
+manager::impl::report_engine_usage(std::uint64_t now)
+{
+  if (now - last_report_ms < report_interval_ms) {
+    return;
+  }
+  const auto recipients = other_owners();
+  auto runs = own_runs();
+  const bool is_unchanged =
+    runs == reported_runs && now - last_report_ms < report_refresh_ms;
+  if (recipients.empty() || is_unchanged) {
+    return;
+  }
+  last_report_ms = now;
+  reported_runs = std::move(runs);
+  http::request r;
+  r.method = "POST";
+  r.target = peer_engine_usage_path;
+  r.fields = { { "Host", "owner" } };
+  r.body = encode(engine_usage_report{ deps.instance, reported_runs }).dump();
+  http::exchange_options o;
+  o.timeout_ms = report_timeout_ms;
+  o.connect_timeout_ms = report_timeout_ms / 2;
+  for (const auto& address : recipients) {
+    // A lost report is replaced by the next one.
+    deps.http.fetch(
+      address, r, o, [](http::exchange_outcome, http::response&&) {});
+  }
+}
+
+void
+manager::on_engine_usage(const http::call& peer)
+{
+  auto report =
+    decode_engine_usage_report(store::parse_message(peer.request().body));
+  if (!report) {
+    process::log_line(timeline::event{ "engine_use_unreadable" }
+                        .with("field", report.fault.field)
+                        .with("why", report.fault.what));
+    peer.respond(answer(400));
+    return;
+  }
+  const auto now = http::now_ms();
+  record_report(impl_->peer_usage, std::move(*report), now);
+  backends::set_peer_runs(
+    impl_->deps.registry, total_runs(impl_->peer_usage, now), now);
+  peer.respond(answer(200));
+}
+
+} // namespace cactusford::batches
--- a/cactusford/batches/placement.cc
+++ b/cactusford/batches/placement.cc
@@ -9,37 +9,42 @@
 
 namespace {
 
-// Owners of open batches are asked every 300 ms; one that missed two questions
-// may be gone, and a batch given to it would wait for the next takeover.
-constexpr std::uint64_t seen_limit_ms = 800;
+// Owners of open batches are probed every 300 ms. An owner that missed two
+// probes may be gone, and a batch given to it would have to wait for the next
+// takeover.
+constexpr std::uint64_t max_answer_age_ms = 800;
 
-// An entry of this share of the largest one's size is large enough: moving the
-// steps costs a hundred connections and the text of the items that come again.
-constexpr double large_enough = 0.7;
+// An entry with at least this share of the largest entry's capacity is large
+// enough. Moving the steps costs a hundred connections and the saved text of
+// resubmitted items.
+constexpr double min_capacity_share = 0.7;
 
 std::optional<membership::member>
-living_runner(const placement_view& v)
+live_runner(const placement_view& view)
 {
-  const auto newest = std::max_element(
-    v.of_trainer.begin(), v.of_trainer.end(), [](const auto& a, const auto& b) {
-      return a.accepted_wall_ms < b.accepted_wall_ms;
-    });
-  const bool lives =
-    newest != v.of_trainer.end() && v.now_ms - newest->seen_ms <= seen_limit_ms;
-  return lives ? std::optional{ newest->of } : std::nullopt;
+  const auto newest =
+    std::max_element(view.trainer_runners.begin(),
+                     view.trainer_runners.end(),
+                     [](const auto& a, const auto& b) {
+                       return a.accepted_wall_ms < b.accepted_wall_ms;
+                     });
+  const bool is_alive = newest != view.trainer_runners.end() &&
+                        view.now_ms - newest->seen_ms <= max_answer_age_ms;
+  return is_alive ? std::optional{ newest->entry } : std::nullopt;
 }
 
-// The largest that runs no other trainer's steps; the largest if all do.
+// Returns the largest entry that runs no other trainer's steps, or the largest
+// of all if every entry does.
 membership::member
-largest_free(const placement_view& v)
+largest_idle_entry(const placement_view& view)
 {
   const auto rank_of = [&](const membership::member& m) {
-    return std::tuple{ !v.busy.contains(m.instance),
+    return std::tuple{ !view.busy_instances.contains(m.instance),
                        m.capacity,
-                       membership::weight_of(m.instance, v.trainer) };
+                       membership::weight_of(m.instance, view.trainer) };
   };
-  auto best = v.self;
-  for (const auto& m : v.known) {
+  auto best = view.self;
+  for (const auto& m : view.largest_entries) {
     best = rank_of(m) > rank_of(best) ? m : best;
   }
   return best;
@@ -48,34 +53,34 @@
 } // namespace
 
 membership::member
-choose_runner(const placement_view& v)
+choose_runner(const placement_view& view)
 {
-  const auto best = largest_free(v);
+  const auto best = largest_idle_entry(view);
   const auto is_large_enough = [&](const membership::member& m) {
-    return m.capacity >= large_enough * best.capacity;
+    return m.capacity >= min_capacity_share * best.capacity;
   };
-  const auto runner = living_runner(v);
+  const auto runner = live_runner(view);
   if (runner && is_large_enough(*runner)) {
     return *runner;
   }
-  const bool is_free = !v.busy.contains(v.self.instance);
-  return is_free && is_large_enough(v.self) ? v.self : best;
+  const bool is_free = !view.busy_instances.contains(view.self.instance);
+  return is_free && is_large_enough(view.self) ? view.self : best;
 }
 
 std::optional<membership::member>
-choose_successor(const placement_view& v)
+choose_successor(const placement_view& view)
 {
-  std::optional<membership::member> first;
-  for (const auto& m : v.known) {
-    if (m.instance == v.self.instance) {
+  std::optional<membership::member> fallback;
+  for (const auto& m : view.largest_entries) {
+    if (m.instance == view.self.instance) {
       continue;
     }
-    if (!v.busy.contains(m.instance)) {
+    if (!view.busy_instances.contains(m.instance)) {
       return m;
     }
-    first = first ? first : m;
+    fallback = fallback ? fallback : m;
   }
-  return first;
+  return fallback;
 }
 
 } // namespace cactusford::batches
--- a/cactusford/store/shared_watches.cc
+++ b/cactusford/store/shared_watches.cc
@@ -3,37 +3,37 @@
 namespace cactusford::store {
 
 void
-shared_watches::ask(const std::string& target,
-                    std::uint64_t now_ms,
-                    origin from,
-                    const call& make,
-                    handler done)
+shared_watches::join(const std::string& target,
+                     std::uint64_t now_ms,
+                     origin from,
+                     const call_starter& start_call,
+                     handler done)
 {
   const auto recent = recent_.find(target);
   if (recent != recent_.end() && now_ms - recent->second.at_ms < reuse_ms) {
     const auto& a = recent->second;
-    done(http::end_state::complete, a.value, a.confirmed_ms);
+    done(http::exchange_outcome::complete, a.value, a.confirmed_ms);
     return;
   }
   const auto [waiting, is_first] = waiting_.try_emplace(target);
   waiting->second.push_back({ from, std::move(done) });
   if (is_first) {
-    make();
+    start_call();
   }
 }
 
 void
-shared_watches::settle(const std::string& target,
-                       std::uint64_t now_ms,
-                       http::end_state end,
-                       const http::response& r,
-                       std::uint64_t confirmed_ms,
-                       bool has_changes)
+shared_watches::complete(const std::string& target,
+                         std::uint64_t now_ms,
+                         http::exchange_outcome end,
+                         const http::response& r,
+                         std::uint64_t confirmed_ms,
+                         bool has_changes)
 {
   std::erase_if(recent_, [&](const auto& e) {
     return now_ms - e.second.at_ms >= reuse_ms;
   });
-  if (end == http::end_state::complete && has_changes) {
+  if (end == http::exchange_outcome::complete && has_changes) {
     recent_[target] = { now_ms, confirmed_ms, r };
   }
   const auto found = waiting_.find(target);
@@ -48,7 +48,7 @@
 }
 
 std::vector<shared_watches::handler>
-shared_watches::take_relayed()
+shared_watches::take_relayed_handlers()
 {
   std::vector<handler> taken;
   for (auto& entry : waiting_) {
--- /dev/null
+++ b/soak/cluster.cc
@@ -0,0 +1,782 @@
+#include "soak/cluster.h"
+
+#include "cactusford/http/socket.h"
+#include "standins/child.h"
+
+#include <asio/steady_timer.hpp>
+#include <nlohmann/json.hpp>
+
+#include <algorithm>
+#include <csignal>
+#include <cstdio>
+#include <filesystem>
+#include <fstream>
+
+#include <sys/wait.h>
+#include <unistd.h>
+
+namespace cactusford::soak {
+
+namespace {
+
+using nlohmann::json;
+
+// The workload: each trainer has one step of several groups open, and
+// non-idempotent calls arrive continuously.
+constexpr std::size_t items_per_step = 8;
+constexpr std::size_t items_per_group = 2;
+constexpr std::uint64_t event_interval_ms = 15;
+constexpr std::uint64_t call_interval_ms = 40;
+constexpr std::uint64_t read_interval_ms = 200;
+constexpr std::uint64_t retry_interval_ms = 150;
+constexpr std::uint64_t request_timeout_ms = 3000;
+
+// Intervals of configuration changes and of probes. A probe asks each entry for
+// the routes of the newest version and of the one before.
+constexpr std::uint64_t change_interval_ms = 3100;
+constexpr std::uint64_t change_delay_after_fault_ms = 50;
+constexpr std::uint64_t probe_interval_ms = 250;
+
+// Prefix of the ids of probes, which may run more than once. Other calls must
+// not.
+constexpr std::string_view probe_prefix = "probe-";
+
+// After a fault, an entry may adopt changes late for this long.
+constexpr std::uint64_t recovery_ms = 3000;
+
+// Longest time after the last fault until all accepted work is complete.
+constexpr std::uint64_t drain_limit_ms = 25000;
+
+// One of this many steps, on average, is deleted by its trainer before it is
+// complete, and a trainer gives up after one of this many refusals.
+constexpr std::uint64_t steps_per_early_end = 4;
+constexpr std::uint64_t refusals_per_give_up = 3;
+
+std::string
+address_of(std::uint16_t port)
+{
+  return "127.0.0.1:" + std::to_string(port);
+}
+
+// Finds free ports and keeps them bound until the other ports of this process
+// are bound. They lie below the ephemeral port range: while an entry is down,
+// no other program, such as another soak test, may get its port, because the
+// peers of the entry would then talk to that program.
+class reserved_ports
+{
+public:
+  explicit reserved_ports(asio::io_context& io)
+    : io_{ io }
+    , next_{ static_cast<std::uint16_t>(first_port +
+                                        static_cast<unsigned>(getpid()) %
+                                          block_count * ports_per_block) }
+  {
+  }
+
+  std::string next()
+  {
+    using asio::ip::tcp;
+    for (;;) {
+      const tcp::endpoint at{ asio::ip::address_v4::loopback(), next_++ };
+      tcp::acceptor acceptor{ io_, at.protocol() };
+      asio::error_code ec;
+      acceptor.bind(at, ec);
+      if (!ec) {
+        acceptors_.push_back(std::move(acceptor));
+        return address_of(at.port());
+      }
+    }
+  }
+
+private:
+  // Each process uses a block of its own, so that soak tests that run at the
+  // same time do not collide.
+  static constexpr unsigned first_port = 10000;
+  static constexpr unsigned ports_per_block = 100;
+  static constexpr unsigned block_count = 200;
+
+  asio::io_context& io_;
+  std::uint16_t next_;
+  std::vector<asio::ip::tcp::acceptor> acceptors_;
+};
+
+} // namespace
+
+struct cluster::entry
+{
+  std::string name;
+  std::string callers_address;
+  std::string peer_address;
+  std::string settings_file;
+  std::unique_ptr<proxy> store_proxy;
+  pid_t pid = 0;
+  // The entry is restarted after its process has exited.
+  bool should_run = true;
+  std::uint64_t start_at_ms = 0;
+  std::uint64_t incarnation = 0;
+  // Active faults, and the time when the last one began or ended or the process
+  // was started.
+  int active_faults = 0;
+  std::uint64_t undisturbed_since_ms = 0;
+};
+
+struct cluster::engine
+{
+  engine(asio::io_context& io, const std::string& id)
+    : standin{ io, id }
+    , engine_proxy{ io, standin.address() }
+  {
+    standin.events = events_per_item;
+    standin.gap_ms = event_interval_ms;
+  }
+
+  standins::stream_engine standin;
+  proxy engine_proxy;
+  std::size_t runs_checked = 0;
+};
+
+struct cluster::trainer
+{
+  std::string batch;
+  std::string body;
+  std::size_t next_position = 0;
+  // Every attempt so far was refused or not sent, so nothing runs.
+  bool only_refused = true;
+  int send_attempts = 0;
+  bool is_idle = true;
+};
+
+cluster::cluster(soak_options o)
+  : options_{ std::move(o) }
+  , random_{ options_.plan.seed }
+  , changes_{ { options_.in_force_ms } }
+  , store_{ io_ }
+  , service_{ io_,
+              {},
+              [this](const http::call& c) {
+                const auto& fields = c.request().fields;
+                const auto id =
+                  std::string{ http::find(fields, "Id").value_or("") };
+                if (!id.starts_with(probe_prefix)) {
+                  invariants_.on_call_run(id);
+                }
+                c.respond({ 200,
+                            { { "Id", id }, { "Signature", "sig-" + id } },
+                            "answer-" + id });
+              } }
+  , call_client_{ io_ }
+  , probe_client_{ io_ }
+{
+  std::filesystem::create_directories(options_.folder);
+  service_.listen("127.0.0.1:0");
+  store_.inject_fault = [this](const store::call& c) {
+    using fault = standins::object_store::fault;
+    constexpr std::uint64_t writes_per_lost_response = 3;
+    const bool is_write = c.op != store::operation::watch &&
+                          c.op != store::operation::list &&
+                          c.op != store::operation::get;
+    if (store_refuses_) {
+      return fault::refuse;
+    }
+    const bool loses_response = store_loses_responses_ && is_write &&
+                                random_() % writes_per_lost_response == 0;
+    return loses_response ? fault::drop_response : fault::none;
+  };
+  reserved_ports ports{ io_ };
+  for (std::size_t i = 0; i < options_.plan.engines; ++i) {
+    engines_.push_back(
+      std::make_unique<engine>(io_, "engine-" + std::to_string(i)));
+  }
+  for (std::size_t i = 0; i < options_.plan.entries; ++i) {
+    auto e = std::make_unique<entry>();
+    e->name = "entry-" + std::to_string(i);
+    e->callers_address = ports.next();
+    e->peer_address = ports.next();
+    e->store_proxy = std::make_unique<proxy>(io_, store_.address());
+    entries_.push_back(std::move(e));
+  }
+  for (std::size_t i = 0; i < options_.trainers; ++i) {
+    trainers_.push_back(std::make_unique<trainer>());
+  }
+  change_configuration();
+  const auto add_backend = [&](const std::string& id,
+                               const char* service,
+                               const std::string& address) {
+    constexpr int slots = 64;
+    store_.put("backends",
+               id,
+               { { "service", service },
+                 { "address", address },
+                 { "slots", slots },
+                 { "version", 1 } });
+  };
+  for (std::size_t i = 0; i < engines_.size(); ++i) {
+    add_backend("engine-" + std::to_string(i),
+                "engines",
+                engines_[i]->engine_proxy.address());
+  }
+  add_backend("scorer", "scorers", engines_[0]->standin.address());
+  add_backend("service", "calls", address_of(service_.port()));
+}
+
+cluster::~cluster()
+{
+  for (auto& e : entries_) {
+    if (e->pid != 0) {
+      kill(e->pid, SIGCONT);
+      kill(e->pid, SIGKILL);
+      waitpid(e->pid, nullptr, 0);
+    }
+  }
+}
+
+namespace {
+
+json
+route(const std::string& name, const char* service, routes::call_kind kind)
+{
+  return { { "name", name },       { "prefix", "/" + name + "/" },
+           { "service", service }, { "kind", static_cast<int>(kind) },
+           { "attempts", 3 },      { "timeout_ms", 2000 },
+           { "due_ms", 3000 },     { "give_up_ms", 600000 } };
+}
+
+std::string
+version_route_name(std::uint64_t version)
+{
+  return "version-" + std::to_string(version);
+}
+
+} // namespace
+
+// Publishes a new version, which adds a route of its own and removes that of
+// the version before.
+void
+cluster::change_configuration()
+{
+  using routes::call_kind;
+  ++version_;
+  store_.put("configuration",
+             "main",
+             { { "version", version_ },
+               { "routes",
+                 { route("b", "engines", call_kind::rollout),
+                   route("score", "scorers", call_kind::idempotent),
+                   route("call", "calls", call_kind::non_idempotent),
+                   route(version_route_name(version_),
+                         "calls",
+                         call_kind::idempotent) } } });
+  changes_.on_confirmed(version_, http::now_ms());
+}
+
+bool
+cluster::is_undisturbed(const entry& e) const
+{
+  const auto now = http::now_ms();
+  return e.pid != 0 && e.active_faults == 0 && store_faults_ == 0 &&
+         now - e.undisturbed_since_ms >= recovery_ms &&
+         now - store_undisturbed_since_ms_ >= recovery_ms;
+}
+
+void
+cluster::probe_entry(std::size_t i, std::uint64_t version)
+{
+  auto& e = *entries_[i];
+  const auto id = std::string{ probe_prefix } + std::to_string(next_id_++);
+  const http::request r{ "GET",
+                         "/" + version_route_name(version) + "/x",
+                         { { "Host", "h" }, { "Id", id } },
+                         "" };
+  http::exchange_options o;
+  o.timeout_ms = request_timeout_ms;
+  const bool was_undisturbed = is_undisturbed(e);
+  probe p{ e.name, e.incarnation, version, http::now_ms(), 0, false, false };
+  probe_client_.fetch(
+    e.callers_address,
+    r,
+    o,
+    [this, &e, p, was_undisturbed](http::exchange_outcome outcome,
+                                   http::response&& response) mutable {
+      constexpr int ok = 200;
+      constexpr int missing = 404;
+      if (outcome != http::exchange_outcome::complete ||
+          e.incarnation != p.incarnation ||
+          (response.status != ok && response.status != missing)) {
+        return;
+      }
+      p.answered_ms = http::now_ms();
+      p.is_served = response.status == ok;
+      p.was_undisturbed = was_undisturbed && is_undisturbed(e);
+      changes_.on_answer(p);
+    });
+}
+
+void
+cluster::probe_entries()
+{
+  if (is_draining_) {
+    return;
+  }
+  for (std::size_t i = 0; i < entries_.size(); ++i) {
+    if (entries_[i]->pid == 0) {
+      continue;
+    }
+    probe_entry(i, version_);
+    if (version_ > 1) {
+      probe_entry(i, version_ - 1);
+    }
+  }
+  run_after(probe_interval_ms, [this] { probe_entries(); });
+}
+
+void
+cluster::track_fault(const fault& f, int delta)
+{
+  const auto now = http::now_ms();
+  const bool is_store_fault = f.kind >= fault_kind::refuse_store;
+  const bool is_engine_fault =
+    f.kind >= fault_kind::delay_engine && f.kind <= fault_kind::silence_engine;
+  if (is_store_fault) {
+    store_faults_ += delta;
+    store_undisturbed_since_ms_ = now;
+  }
+  if (is_store_fault || is_engine_fault) {
+    return;
+  }
+  for (std::size_t i = 0; i < entries_.size(); ++i) {
+    const bool is_target = i == f.target % entries_.size();
+    if (is_target || f.kind == fault_kind::kill_all) {
+      entries_[i]->active_faults += delta;
+      entries_[i]->undisturbed_since_ms = now;
+    }
+  }
+}
+
+void
+cluster::write_settings(entry& e)
+{
+  json peers = json::array();
+  constexpr std::size_t relays = 3;
+  for (std::size_t i = 0; i < std::min(relays, entries_.size()); ++i) {
+    peers.push_back(entries_[i]->peer_address);
+  }
+  e.settings_file = options_.folder + "/" + e.name + ".json";
+  std::ofstream{ e.settings_file } << json{
+    { "instance", e.name },
+    { "data_centre", "a" },
+    { "callers", e.callers_address },
+    { "peer", e.peer_address },
+    { "store", e.store_proxy->address() },
+    { "grace_s", 3 },
+    { "peers", peers }
+  }.dump();
+}
+
+void
+cluster::start(entry& e)
+{
+  write_settings(e);
+  ++e.incarnation;
+  e.undisturbed_since_ms = http::now_ms();
+  e.pid =
+    standins::spawn_program({ options_.program, "--settings", e.settings_file },
+                            options_.folder + "/" + e.name + ".log");
+}
+
+// Restarts exited entries when their downtime is over, and passes new engine
+// runs to the checker.
+void
+cluster::poll_processes()
+{
+  const auto now = http::now_ms();
+  for (auto& e : entries_) {
+    if (e->pid != 0 && waitpid(e->pid, nullptr, WNOHANG) == e->pid) {
+      e->pid = 0;
+    }
+    if (e->pid == 0 && e->should_run && now >= e->start_at_ms) {
+      start(*e);
+    }
+  }
+  for (auto& e : engines_) {
+    for (; e->runs_checked < e->standin.runs.size(); ++e->runs_checked) {
+      invariants_.on_run(e->standin.runs[e->runs_checked].item, now);
+    }
+  }
+}
+
+void
+cluster::run_after(std::uint64_t ms, std::function<void()> action)
+{
+  auto t =
+    std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{ ms });
+  t->async_wait([t, action = std::move(action)](asio::error_code ec) {
+    if (!ec) {
+      action();
+    }
+  });
+}
+
+void
+cluster::apply(const fault& f)
+{
+  ++applied_faults_;
+  track_fault(f, 1);
+  std::printf("soak: at_ms=%lu for_ms=%lu fault=%s target=%zu\n",
+              static_cast<unsigned long>(f.at_ms),
+              static_cast<unsigned long>(f.duration_ms),
+              std::string{ name_of(f.kind) }.c_str(),
+              f.target);
+  const auto signal_entry = [&](entry& e, int number) {
+    if (e.pid != 0) {
+      kill(e.pid, number);
+    }
+    e.start_at_ms = http::now_ms() + f.duration_ms;
+  };
+  auto& e = *entries_[f.target % entries_.size()];
+  auto& engine_proxy = engines_[f.target % engines_.size()]->engine_proxy;
+  switch (f.kind) {
+    case fault_kind::kill_entry:
+      signal_entry(e, SIGKILL);
+      break;
+    case fault_kind::stop_entry:
+      signal_entry(e, SIGTERM);
+      break;
+    case fault_kind::pause_entry:
+      signal_entry(e, SIGSTOP);
+      break;
+    case fault_kind::reload_entry:
+      signal_entry(e, SIGHUP);
+      break;
+    case fault_kind::kill_all:
+      for (auto& each : entries_) {
+        signal_entry(*each, SIGKILL);
+      }
+      break;
+    case fault_kind::delay_store:
+      e.store_proxy->set_fault(link_fault::delay);
+      break;
+    case fault_kind::reset_store:
+      e.store_proxy->set_fault(link_fault::reset);
+      break;
+    case fault_kind::cut_store_one_way:
+      e.store_proxy->set_fault(link_fault::one_way);
+      break;
+    case fault_kind::silence_store:
+      e.store_proxy->set_fault(link_fault::blackhole);
+      break;
+    case fault_kind::delay_engine:
+      engine_proxy.set_fault(link_fault::delay);
+      break;
+    case fault_kind::reset_engine:
+      engine_proxy.set_fault(link_fault::reset);
+      break;
+    case fault_kind::cut_engine_one_way:
+      engine_proxy.set_fault(link_fault::one_way);
+      break;
+    case fault_kind::silence_engine:
+      engine_proxy.set_fault(link_fault::blackhole);
+      break;
+    case fault_kind::refuse_store:
+      store_refuses_ = true;
+      break;
+    case fault_kind::lose_answers:
+      store_loses_responses_ = true;
+      break;
+    case fault_kind::compact_store:
+      store_.compact();
+      break;
+  }
+}
+
+void
+cluster::heal(const fault& f)
+{
+  track_fault(f, -1);
+  auto& e = *entries_[f.target % entries_.size()];
+  switch (f.kind) {
+    case fault_kind::pause_entry:
+      if (e.pid != 0) {
+        kill(e.pid, SIGCONT);
+      }
+      break;
+    case fault_kind::delay_store:
+    case fault_kind::reset_store:
+    case fault_kind::cut_store_one_way:
+    case fault_kind::silence_store:
+      e.store_proxy->set_fault(link_fault::none);
+      break;
+    case fault_kind::delay_engine:
+    case fault_kind::reset_engine:
+    case fault_kind::cut_engine_one_way:
+    case fault_kind::silence_engine:
+      engines_[f.target % engines_.size()]->engine_proxy.set_fault(
+        link_fault::none);
+      break;
+    case fault_kind::refuse_store:
+      store_refuses_ = false;
+      break;
+    case fault_kind::lose_answers:
+      store_loses_responses_ = false;
+      break;
+    default:
+      break;
+  }
+}
+
+cluster::entry&
+cluster::random_entry()
+{
+  return *entries_[random_() % entries_.size()];
+}
+
+// Starts a new step. The trainer sends it again until an entry accepts it, and
+// may give up only if every attempt was refused.
+void
+cluster::start_step(trainer& t)
+{
+  if (is_draining_) {
+    t.is_idle = true;
+    return;
+  }
+  t = {};
+  t.is_idle = false;
+  t.batch = "batch-" + std::to_string(next_id_++);
+  json j{ { "model", "m" }, { "min_version", 1 }, { "items", json::array() } };
+  std::set<std::string> items;
+  for (std::size_t i = 0; i < items_per_step; ++i) {
+    const auto id = t.batch + "-" + std::to_string(i);
+    items.insert(id);
+    j["items"].push_back(
+      { { "id", id },
+        { "group", t.batch + "g" + std::to_string(i / items_per_group) },
+        { "scorer", "score-" + id } });
+  }
+  t.body = j.dump();
+  invariants_.on_sent(t.batch, items);
+  send_batch(t);
+}
+
+void
+cluster::send_batch(trainer& t)
+{
+  ++t.send_attempts;
+  const http::request r{
+    "POST", "/b/", { { "Host", "h" }, { "Id", t.batch } }, t.body
+  };
+  http::exchange_options o;
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
+    r,
+    o,
+    [this, &t](http::exchange_outcome outcome, http::response&& response) {
+      constexpr int accepted = 202;
+      constexpr int refused = 503;
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == accepted) {
+        invariants_.on_accepted(t.batch);
+        read_results(t);
+        return;
+      }
+      const bool not_run = outcome == http::exchange_outcome::not_sent ||
+                           (outcome == http::exchange_outcome::complete &&
+                            response.status == refused);
+      t.only_refused = t.only_refused && not_run;
+      const bool gives_up =
+        t.only_refused && random_() % refusals_per_give_up == 0;
+      if (gives_up || (is_draining_ && t.only_refused)) {
+        invariants_.on_refused(t.batch);
+        start_step(t);
+        return;
+      }
+      run_after(retry_interval_ms, [this, &t] {
+        if (!has_finished_) {
+          send_batch(t);
+        }
+      });
+    });
+}
+
+// Reads from the current position and sometimes from the start again.
+void
+cluster::read_results(trainer& t)
+{
+  const auto from = random_() % 4 == 0 ? 0 : t.next_position;
+  const auto asked_ms = http::now_ms();
+  const http::request r{ "GET",
+                         "/batches/" + t.batch +
+                           "?after=" + std::to_string(from) + "&wait=500",
+                         { { "Host", "h" } },
+                         "" };
+  http::exchange_options o;
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
+    r,
+    o,
+    [this, &t, from, asked_ms](http::exchange_outcome outcome,
+                               http::response&& response) {
+      constexpr int ok = 200;
+      constexpr int missing = 404;
+      if (has_finished_) {
+        return;
+      }
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == missing) {
+        invariants_.on_missing(t.batch, asked_ms);
+      }
+      const auto page = json::parse(response.body, nullptr, false);
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == ok && page.is_object()) {
+        std::vector<observed_result> results;
+        for (const auto& x : page.at("results")) {
+          results.push_back(
+            { x.at("id"), x.at("done"), x.at("text"), x.at("score") });
+        }
+        invariants_.on_page(t.batch, asked_ms, http::now_ms(), from, results);
+        t.next_position = invariants_.results_seen(t.batch);
+      }
+      const bool ends_early =
+        !is_draining_ && t.next_position > 0 &&
+        random_() % (steps_per_early_end * items_per_step) == 0;
+      if (t.next_position == items_per_step || ends_early) {
+        end_batch(t);
+        return;
+      }
+      run_after(read_interval_ms, [this, &t] {
+        if (!has_finished_) {
+          read_results(t);
+        }
+      });
+    });
+}
+
+void
+cluster::end_batch(trainer& t)
+{
+  const http::request r{
+    "DELETE", "/batches/" + t.batch, { { "Host", "h" } }, ""
+  };
+  http::exchange_options o;
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
+    r,
+    o,
+    [this, &t](http::exchange_outcome outcome, http::response&& response) {
+      constexpr int ok = 200;
+      if (has_finished_) {
+        return;
+      }
+      if (outcome == http::exchange_outcome::complete &&
+          response.status == ok) {
+        invariants_.on_ended(t.batch, http::now_ms());
+        start_step(t);
+        return;
+      }
+      run_after(retry_interval_ms, [this, &t] {
+        if (!has_finished_) {
+          end_batch(t);
+        }
+      });
+    });
+}
+
+// Sends a non-idempotent call, over connections that stay open until the
+// process exits.
+void
+cluster::send_call()
+{
+  if (is_draining_) {
+    return;
+  }
+  const auto id = "call-" + std::to_string(next_id_++);
+  const http::request r{
+    "POST", "/call/x", { { "Host", "h" }, { "Id", id } }, "hold"
+  };
+  http::exchange_options o;
+  o.timeout_ms = request_timeout_ms;
+  call_client_.fetch(
+    random_entry().callers_address,
+    r,
+    o,
+    [this, id](http::exchange_outcome outcome, http::response&& response) {
+      if (outcome == http::exchange_outcome::complete) {
+        const auto signature =
+          std::string{ http::find(response.fields, "Signature").value_or("") };
+        invariants_.on_call_answer(
+          id, response.status, response.body, signature);
+      }
+    });
+  run_after(call_interval_ms, [this] { send_call(); });
+}
+
+void
+cluster::run_for(std::uint64_t ms)
+{
+  const auto until = http::now_ms() + ms;
+  while (http::now_ms() < until) {
+    io_.run_one_for(std::chrono::milliseconds{ 10 });
+    io_.poll();
+    poll_processes();
+  }
+}
+
+bool
+cluster::all_work_done() const
+{
+  return std::all_of(trainers_.begin(), trainers_.end(), [](const auto& t) {
+    return t->is_idle;
+  });
+}
+
+// Schedules changes at regular intervals or, with `only_store_paths`, just
+// after each fault on a connection to the store, when a change may be learned
+// late.
+void
+cluster::schedule_changes()
+{
+  const auto change_at = [this](std::uint64_t at_ms) {
+    run_after(at_ms, [this] { change_configuration(); });
+  };
+  if (options_.plan.only_store_paths) {
+    for (const auto& f : make_plan(options_.plan)) {
+      change_at(f.at_ms + change_delay_after_fault_ms);
+    }
+    return;
+  }
+  for (auto at = change_interval_ms; at < options_.plan.length_ms;
+       at += change_interval_ms) {
+    change_at(at);
+  }
+}
+
+void
+cluster::run()
+{
+  constexpr std::uint64_t startup_ms = 800;
+  constexpr std::uint64_t poll_interval_ms = 100;
+  run_for(startup_ms);
+  for (auto& t : trainers_) {
+    start_step(*t);
+  }
+  send_call();
+  probe_entries();
+  schedule_changes();
+  std::uint64_t last_end_ms = options_.plan.length_ms;
+  for (const auto& f : make_plan(options_.plan)) {
+    run_after(f.at_ms, [this, f] { apply(f); });
+    run_after(f.at_ms + f.duration_ms, [this, f] { heal(f); });
+    last_end_ms = std::max(last_end_ms, f.at_ms + f.duration_ms);
+  }
+  run_for(last_end_ms + poll_interval_ms);
+  is_draining_ = true;
+  const auto deadline = http::now_ms() + drain_limit_ms;
+  while (!all_work_done() && http::now_ms() < deadline) {
+    run_for(poll_interval_ms);
+  }
+  has_finished_ = true;
+  invariants_.finish();
+}
+
+} // namespace cactusford::soak
--- a/standins/object_store.cc
+++ b/standins/object_store.cc
@@ -25,25 +25,26 @@
 object_from(const json& j)
 {
   store::object o;
-  o.name = store::text_field(j, "name");
-  o.revision = store::whole_field(j, "revision");
+  o.name = store::string_field(j, "name");
+  o.revision = store::uint_field(j, "revision");
   o.spec = store::field(j, "spec");
   o.status = store::field(j, "status");
-  if (store::holds_unreadable(o.spec)) {
-    throw store::field_error{ { "spec", "bytes that are no UTF-8" } };
+  if (store::contains_unreadable(o.spec)) {
+    throw store::field_error{ { "spec", "bytes that are not valid UTF-8" } };
   }
   return o;
 }
 
-// An object in an answer, or why it can't be read.
+// Decodes an object of a reply. An object that cannot be decoded is added to
+// `unreadable_objects` of the reply.
 store::decoded<store::object>
 read_object(const json& j, store::reply& r)
 {
-  auto o = store::read_shape([&] { return object_from(j); });
+  auto o = store::try_decode([&] { return object_from(j); });
   const auto name =
-    store::read_shape([&] { return store::text_field(j, "name"); });
+    store::try_decode([&] { return store::string_field(j, "name"); });
   if (!o) {
-    r.broken.push_back({ name.value_or(""), o.fault });
+    r.unreadable_objects.push_back({ name.value_or(""), o.fault });
   }
   r.last_name = name.value_or(r.last_name);
   return o;
@@ -78,44 +79,45 @@
 }
 
 std::string
-encode_reply(const store::reply& r, const std::set<std::string>& as_text)
+encode_reply(const store::reply& r, const std::set<std::string>& sent_as_text)
 {
-  const auto shown = [&](const store::object& o) {
-    return as_text.contains(o.name) ? json(o.name) : to_json(o);
+  const auto encode_object = [&](const store::object& o) {
+    return sent_as_text.contains(o.name) ? json(o.name) : to_json(o);
   };
-  json j{ { "what", static_cast<int>(r.what) },
+  json j{ { "what", static_cast<int>(r.result) },
           { "more", r.more },
           { "as_of", r.as_of },
           { "items", json::array() },
           { "changes", json::array() } };
   for (const auto& o : r.items) {
-    j["items"].push_back(shown(o));
+    j["items"].push_back(encode_object(o));
   }
   for (const auto& c : r.changes) {
     j["changes"].push_back(
-      { { "object", shown(c.value) }, { "deleted", c.deleted } });
+      { { "object", encode_object(c.value) }, { "deleted", c.deleted } });
   }
   auto text = j.dump();
-  for (auto at = text.find(object_store::bad_byte); at != std::string::npos;
-       at = text.find(object_store::bad_byte, at)) {
-    text.replace(at, object_store::bad_byte.size(), "\xff");
+  for (auto at = text.find(object_store::invalid_byte_marker);
+       at != std::string::npos;
+       at = text.find(object_store::invalid_byte_marker, at)) {
+    text.replace(at, object_store::invalid_byte_marker.size(), "\xff");
   }
   return text;
 }
 
 store::reply
-decode_reply(const store::call&, const http::response& a)
+decode_reply(const store::call&, const http::response& response)
 {
   store::reply r;
-  const auto j = store::parse_marked(a.body).value;
-  if (a.status == 503) {
-    r.what = store::verdict::refused;
+  const auto j = store::parse_leniently(response.body).value;
+  if (response.status == 503) {
+    r.result = store::call_result::refused;
     return r;
   }
   if (!j.is_object()) {
     return r;
   }
-  r.what = static_cast<store::verdict>(j.at("what").get<int>());
+  r.result = static_cast<store::call_result>(j.at("what").get<int>());
   r.more = j.at("more").get<bool>();
   r.as_of = j.at("as_of").get<std::uint64_t>();
   for (const auto& o : j.at("items")) {
@@ -189,7 +191,7 @@
   return r;
 }
 
-// {"NAME": ["KEY", ...], ...}
+// Format: {"NAME": ["KEY", ...], ...}
 workspaces::directory
 workspaces_from(const json& j)
 {
@@ -206,35 +208,35 @@
 store::decoded<routes::table>
 table_from(const store::object& o)
 {
-  return store::read_shape([&] {
-    routes::table t;
-    t.version = store::whole_field(o.spec, "version");
-    for (const auto& r : store::list_field(o.spec, "routes")) {
-      t.routes.push_back(route_from(r));
+  return store::try_decode([&] {
+    routes::table table;
+    table.version = store::uint_field(o.spec, "version");
+    for (const auto& r : store::array_field(o.spec, "routes")) {
+      table.routes.push_back(route_from(r));
     }
     if (o.spec.contains("workspaces")) {
-      t.workspaces = workspaces_from(o.spec.at("workspaces"));
+      table.workspaces = workspaces_from(o.spec.at("workspaces"));
     }
-    return t;
+    return table;
   });
 }
 
 store::decoded<backends::announcement>
 announcement_from(const store::object& o)
 {
-  return store::read_shape([&] {
+  return store::try_decode([&] {
     backends::announcement a;
     a.id = o.name;
-    a.started_ms = store::whole_field_or(o.spec, "started_ms", 0);
-    a.service = store::text_field(o.spec, "service");
-    a.address = store::text_field(o.spec, "address");
-    a.slots = static_cast<std::uint32_t>(store::whole_field(o.spec, "slots"));
-    a.versions["m"] = store::whole_field_or(o.spec, "version", 0);
+    a.started_ms = store::uint_field_or(o.spec, "started_ms", 0);
+    a.service = store::string_field(o.spec, "service");
+    a.address = store::string_field(o.spec, "address");
+    a.slots = static_cast<std::uint32_t>(store::uint_field(o.spec, "slots"));
+    a.versions["m"] = store::uint_field_or(o.spec, "version", 0);
     return a;
   });
 }
 
-// GET /batches/ID?after=N&wait=MS and DELETE /batches/ID.
+// Decodes GET /batches/ID?after=N&wait=MS and DELETE /batches/ID.
 edge::batch_request
 batch_request_from(const http::request& r)
 {
@@ -259,7 +261,7 @@
 } // namespace
 
 edge::dialect
-plain_dialect()
+json_dialect()
 {
   edge::dialect d;
   d.headers = { "Id",        "Wait",         "Signature",   "Expect",
@@ -269,7 +271,8 @@
   d.kinds = { "configuration", "main", "backends", "versions", "retired" };
   d.version_line = "version";
   d.store.encode = [](const store::call& c) {
-    // Watches are joined by their targets.
+    // Identical watches of several instances are joined by their target, so the
+    // target contains the kind and the revision.
     const auto target = "/" + c.kind + "?since=" + std::to_string(c.since);
     return http::request{
       "POST", target, { { "Host", "s" } }, to_json(c).dump()
@@ -277,7 +280,7 @@
   };
   d.store.decode = decode_reply;
   d.submission_from = [](std::string_view body) {
-    return store::read_shape(
+    return store::try_decode(
       [&] { return submission_from(json::parse(body)); });
   };
   d.encode_page = encode_page;
@@ -313,7 +316,7 @@
   o.name = name;
   o.spec = spec;
   o.revision = ++revision_;
-  note_change(kind, o, false);
+  record_change(kind, o, false);
   return revision_;
 }
 
@@ -346,32 +349,33 @@
 {
   history_.clear();
   history_from_ = revision_;
-  auto cut = std::move(watches_);
+  auto aborted = std::move(watches_);
   watches_.clear();
-  for (const auto& w : cut) {
+  for (const auto& w : aborted) {
     w.caller.abort();
   }
 }
 
 void
-object_store::note_change(const std::string& kind,
-                          store::object o,
-                          bool deleted)
+object_store::record_change(const std::string& kind,
+                            store::object o,
+                            bool deleted)
 {
   history_[kind].push_back({ std::move(o), deleted });
-  answer_watches();
+  respond_to_watches();
 }
 
 void
-object_store::answer_watches()
+object_store::respond_to_watches()
 {
   auto waiting = std::move(watches_);
   watches_.clear();
   for (auto& w : waiting) {
     const auto r = perform(w.call);
-    const bool over = http::now_ms() >= w.until_ms;
-    if (!r.changes.empty() || r.what != store::verdict::done || over) {
-      w.caller.respond({ 200, {}, encode_reply(r, texts_for_objects) });
+    const bool is_expired = http::now_ms() >= w.deadline_ms;
+    if (!r.changes.empty() || r.result != store::call_result::done ||
+        is_expired) {
+      w.caller.respond({ 200, {}, encode_reply(r, objects_sent_as_text) });
     } else if (w.caller.is_open()) {
       watches_.push_back(std::move(w));
     }
@@ -381,11 +385,11 @@
 void
 object_store::tick()
 {
-  auto t =
+  auto timer =
     std::make_shared<http::timer>(io_, std::chrono::milliseconds{ tick_ms });
-  t->async_wait([this, t](asio::error_code ec) {
+  timer->async_wait([this, timer](asio::error_code ec) {
     if (!ec) {
-      answer_watches();
+      respond_to_watches();
       tick();
     }
   });
@@ -401,35 +405,35 @@
   }
   const auto call = call_from(j);
   ++calls_;
-  const auto f = faults ? faults(call) : fault::none;
-  if (f == fault::refuse) {
+  const auto chosen = inject_fault ? inject_fault(call) : fault::none;
+  if (chosen == fault::refuse) {
     c.respond({ 503, {}, "" });
     return;
   }
-  if (f == fault::silent) {
+  if (chosen == fault::drop_request) {
     unanswered_.push_back(c);
     return;
   }
-  if (call.op == store::operation::watch && f == fault::none) {
+  if (call.op == store::operation::watch && chosen == fault::none) {
     watches_.push_back({ c, call, http::now_ms() + call.wait_ms });
-    answer_watches();
+    respond_to_watches();
     return;
   }
   const auto r = perform(call);
-  if (f == fault::lose_answer) {
+  if (chosen == fault::drop_response) {
     unanswered_.push_back(c);
     return;
   }
-  c.respond({ 200, {}, encode_reply(r, texts_for_objects) });
+  c.respond({ 200, {}, encode_reply(r, objects_sent_as_text) });
 }
 
 store::reply
 object_store::perform(const store::call& c)
 {
+  using store::call_result;
   using store::operation;
-  using store::verdict;
   store::reply r;
-  r.what = verdict::done;
+  r.result = call_result::done;
   r.as_of = revision_;
   auto& kind = objects_[c.kind];
   const auto found = kind.find(c.name);
@@ -446,7 +450,7 @@
       return r;
     case operation::watch:
       if (c.since < history_from_) {
-        r.what = verdict::history_gone;
+        r.result = call_result::history_gone;
         return r;
       }
       for (const auto& change : history_[c.kind]) {
@@ -456,14 +460,14 @@
       }
       return r;
     case operation::get:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
         r.items.push_back(found->second);
       }
       return r;
     case operation::create: {
       if (exists) {
-        r.what = verdict::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -473,17 +477,17 @@
       o.revision = ++revision_;
       kind[c.name] = o;
       r.items.push_back(o);
-      note_change(c.kind, o, false);
+      record_change(c.kind, o, false);
       return r;
     }
     case operation::replace:
     case operation::replace_status:
       if (!exists) {
-        r.what = verdict::missing;
+        r.result = call_result::missing;
         return r;
       }
       if (c.revision != 0 && c.revision != found->second.revision) {
-        r.what = verdict::conflict;
+        r.result = call_result::conflict;
         r.items.push_back(found->second);
         return r;
       }
@@ -491,15 +495,15 @@
         c.body;
       found->second.revision = ++revision_;
       r.items.push_back(found->second);
-      note_change(c.kind, found->second, false);
+      record_change(c.kind, found->second, false);
       return r;
     case operation::remove:
-      r.what = exists ? verdict::done : verdict::missing;
+      r.result = exists ? call_result::done : call_result::missing;
       if (exists) {
-        auto gone = found->second;
-        gone.revision = ++revision_;
+        auto removed = found->second;
+        removed.revision = ++revision_;
         kind.erase(found);
-        note_change(c.kind, gone, true);
+        record_change(c.kind, removed, true);
       }
       return r;
   }
--- a/tests/process_world.h
+++ b/tests/process_cluster.h
@@ -1,12 +1,13 @@
-// Entries as processes, with the store and a service of backend servers in the
-// test. Requests with the body `fatal` end each server that runs them.
+// Test fixture: entries that run as processes, with the store and a service of
+// backend servers inside the test. Requests with the body `poison_body` crash
+// every server that runs them.
 #pragma once
 
 #include "cactusford/http/client.h"
 #include "cactusford/http/socket.h"
 #include "cactusford/routes/table.h"
 #include "standins/child.h"
-#include "standins/frail_service.h"
+#include "standins/crashing_service.h"
 #include "standins/object_store.h"
 
 #include <asio/io_context.hpp>
@@ -28,20 +29,20 @@
 namespace cactusford::testing {
 
 using nlohmann::json;
-using standins::frail_service;
+using standins::crashing_service;
 using standins::object_store;
 
 constexpr const char* entry_program =
   CACTUSFORD_BINARY "/bin/cactusford-soak-edge";
 
-// Longer than any step here takes; reached only when something hangs.
-constexpr std::uint64_t hang_ms = 30000;
+// Longer than any step of these tests; exceeded only if something hangs.
+constexpr std::uint64_t max_wait_ms = 30000;
 
-constexpr const char* fatal = "fatal";
+constexpr const char* poison_body = "fatal";
 
-struct process_answer
+struct exchange_result
 {
-  http::end_state end = http::end_state::not_sent;
+  http::exchange_outcome end = http::exchange_outcome::not_sent;
   http::response value;
 };
 
@@ -54,19 +55,19 @@
   pid_t pid = 0;
 };
 
-struct process_world
+struct process_cluster
 {
   asio::io_context io;
   http::client http{ io };
   object_store store{ io };
-  frail_service service;
+  crashing_service service;
   std::vector<entry_process> entries;
   std::string folder;
   int next_id = 0;
-  // What the last backend server was sent.
+  // The last request that a backend server has received.
   http::request last_request;
 
-  process_world(const std::string& name, std::size_t count)
+  process_cluster(const std::string& name, std::size_t count)
     : service{ io,
                store,
                { "calls",
@@ -75,7 +76,7 @@
                  400,
                  [this](const http::request& r) {
                    last_request = r;
-                   return r.body == fatal;
+                   return r.body == poison_body;
                  } } }
     , folder{ std::string{ CACTUSFORD_BINARY } + "/tests/processes-" + name }
   {
@@ -85,18 +86,18 @@
     for (auto& e : entries) {
       start(e);
     }
-    wait_ready();
+    wait_until_ready();
   }
 
-  ~process_world() { end_all(); }
+  ~process_cluster() { kill_all_entries(); }
 
   void choose_addresses(std::size_t count)
   {
     using asio::ip::tcp;
     const tcp::endpoint any{ asio::ip::address_v4::loopback(), 0 };
-    std::vector<tcp::acceptor> held;
+    std::vector<tcp::acceptor> acceptors;
     const auto next = [&] {
-      const auto port = held.emplace_back(io, any).local_endpoint().port();
+      const auto port = acceptors.emplace_back(io, any).local_endpoint().port();
       return "127.0.0.1:" + std::to_string(port);
     };
     for (std::size_t i = 0; i < count; ++i) {
@@ -105,7 +106,7 @@
     }
   }
 
-  // Declares the routes, and workspaces with their keys unless null.
+  // Declares the routes, and the workspaces with their keys unless null.
   void configure(std::uint64_t version = 1, const json& workspaces = nullptr)
   {
     const auto route = [](const char* prefix, routes::call_kind kind) {
@@ -148,7 +149,7 @@
     cr_assert_gt(e.pid, 0);
   }
 
-  static void end(entry_process& e)
+  static void kill_entry(entry_process& e)
   {
     if (e.pid != 0) {
       kill(e.pid, SIGKILL);
@@ -159,23 +160,24 @@
 
   void run_until(const std::function<bool()>& done)
   {
-    const auto limit = http::now_ms() + hang_ms;
+    const auto limit = http::now_ms() + max_wait_ms;
     while (!done()) {
       if (http::now_ms() >= limit) {
-        end_all();
-        cr_assert_fail("it hangs");
+        kill_all_entries();
+        cr_assert_fail("timed out waiting for a condition");
       }
       io.run_one_for(std::chrono::milliseconds{ 1 });
     }
   }
 
-  // A failed assertion leaves the test without its destructors. Entries that it
-  // left behind would ask for their store for ever, at a port that some other
-  // program has by then: the soak met such requests at an engine.
-  void end_all()
+  // Also called before a failing assertion, as that leaves the test without
+  // running destructors. Orphaned entries would call their store forever, at a
+  // port that another program may use by then: in a soak run an engine received
+  // such calls.
+  void kill_all_entries()
   {
     for (auto& e : entries) {
-      end(e);
+      kill_entry(e);
     }
   }
 
@@ -185,32 +187,34 @@
     run_until([until] { return http::now_ms() >= until; });
   }
 
-  process_answer ask(const std::string& address, const http::request& r)
+  exchange_result send_request(const std::string& address,
+                               const http::request& r)
   {
-    std::optional<process_answer> got;
+    std::optional<exchange_result> result;
     http::exchange_options o;
     o.timeout_ms = 5000;
-    http.fetch(address, r, o, [&](http::end_state end, http::response&& a) {
-      got = { end, std::move(a) };
-    });
-    run_until([&] { return got.has_value(); });
-    return *got;
+    http.fetch(
+      address, r, o, [&](http::exchange_outcome end, http::response&& a) {
+        result = { end, std::move(a) };
+      });
+    run_until([&] { return result.has_value(); });
+    return *result;
   }
 
-  void wait_ready()
+  void wait_until_ready()
   {
     for (const auto& e : entries) {
       const http::request r{ "GET", "/", { { "Host", "h" } }, "" };
-      while (ask(e.ready, r).value.status != 200) {
+      while (send_request(e.ready, r).value.status != 200) {
         run_for(20);
       }
     }
   }
 
-  process_answer call(std::size_t at,
-                      const std::string& body,
-                      const std::string& target = "/look/",
-                      const std::string& key = {})
+  exchange_result call(std::size_t entry_index,
+                       const std::string& body,
+                       const std::string& target = "/look/",
+                       const std::string& key = {})
   {
     const auto id = "r" + std::to_string(++next_id);
     http::request r{ "POST",
@@ -220,21 +224,22 @@
     if (!key.empty()) {
       r.fields.push_back({ "Authorization", "Bearer " + key });
     }
-    return ask(entries.at(at).callers, r);
+    return send_request(entries.at(entry_index).callers, r);
   }
 
-  void wait_servers()
+  void wait_for_servers()
   {
-    run_until([this] { return service.all_up(); });
-    // Entries gather changes of backend servers before they ask again.
-    constexpr std::uint64_t heard_ms = 800;
-    run_for(heard_ms);
+    run_until([this] { return service.all_running(); });
+    // Entries coalesce changes of backend servers before they refresh the list.
+    constexpr std::uint64_t propagation_ms = 800;
+    run_for(propagation_ms);
   }
 
-  std::size_t fatal_runs() const
+  std::size_t count_poison_runs() const
   {
-    const auto& all = service.runs();
-    return static_cast<std::size_t>(std::count(all.begin(), all.end(), fatal));
+    const auto& runs = service.runs();
+    return static_cast<std::size_t>(
+      std::count(runs.begin(), runs.end(), poison_body));
   }
 };
 
